--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -7,24 +7,24 @@
 	"filbertstall.example/filbertstall/internal/roster"
 )
 
-// answerBytes bounds the answer of a plain call, which is held whole before
-// its first byte goes to the caller.
-const answerBytes = 32 << 20
+// maxAnswerBytes limits the answer to a non-streaming request. The answer is
+// buffered completely before its first byte goes to the caller.
+const maxAnswerBytes = 32 << 20
 
-// call answers a request by a whole answer.
-func (di *Dispatcher) call(ctx context.Context, ta *task) Reply {
+// serveBuffered answers a request with a complete, buffered answer.
+func (di *Dispatcher) serveBuffered(ctx context.Context, ta *task) Reply {
 	ctx, cancel := context.WithDeadline(ctx, ta.deadline)
 	defer cancel()
 	wo := di.work(ta)
 	for {
-		en, er := di.choose(ta, wo)
+		en, er := di.chooseEndpoint(ta, wo)
 		if er != nil {
 			er.Dispatched = ta.ran > 0
 			return di.refuse(ta.Request, er)
 		}
-		re := di.attempt(ctx, ta, place{endpoint: en, work: wo})
+		re := di.attempt(ctx, ta, destination{endpoint: en, work: wo})
 		if re.step == deliver {
-			re = di.whole(ctx, ta, en, re)
+			re = di.readBody(ctx, ta, en, re)
 			if re.step == deliver {
 				return Reply{Status: re.answer.Status, Headers: re.answer.Headers, Body: re.body}
 			}
@@ -35,9 +35,10 @@
 	}
 }
 
-// whole reads the body of an answer.
-func (di *Dispatcher) whole(ctx context.Context, ta *task, en roster.Endpoint, re result) result {
-	body, err := re.answer.ReadAll(answerBytes)
+// readBody reads the whole body of an answer and ends the attempt's ticket. If
+// the body is incomplete, the result asks for a retry or holds a refusal.
+func (di *Dispatcher) readBody(ctx context.Context, ta *task, en roster.Endpoint, re result) result {
+	body, err := re.answer.ReadAll(maxAnswerBytes)
 	re.answer.Close()
 	if err == nil {
 		ou := placement.Done
@@ -46,13 +47,13 @@
 		}
 		re.ticket.End(ou)
 		re.body = body
-		di.finished(ta)
+		di.clearSuspicion(ta)
 		return re
 	}
 	if ctx.Err() != nil {
 		re.ticket.End(placement.Done)
-		return result{step: giveUp, refusal: di.ended(ctx, ta, err)}
+		return result{step: giveUp, refusal: di.endedRefusal(ctx, ta, err)}
 	}
 	re.ticket.End(placement.Lost)
-	return di.lost(ta, en, err)
+	return di.handleLost(ta, en, err)
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -16,13 +16,13 @@
 	"filbertstall.example/filbertstall/internal/upstream"
 )
 
-// Sender sends calls; upstream.Pool is one.
+// Sender sends calls to endpoints. upstream.Pool implements it.
 type Sender interface {
 	Do(ctx context.Context, ca upstream.Call) (*upstream.Answer, error)
 }
 
-// Dispatcher answers requests. Set the fields before the first request. It is
-// safe for concurrent use.
+// Dispatcher answers requests. Set the exported fields before the first
+// request. It is safe for concurrent use.
 type Dispatcher struct {
 	State  *routing.State
 	Roster *roster.Roster
@@ -32,53 +32,63 @@
 	Codec  Codec
 	Clock  clockwork.Clock
 	Log    zerolog.Logger
-	// Ages returns the bounds on the age of what the store confirmed.
+	// Ages returns the limits on how old the store's confirmation of the
+	// configuration may be.
 	Ages func() Ages
-	// Members returns how many instances share the bounds of an endpoint.
+	// Members returns how many instances share the rate at which a cold
+	// endpoint takes requests.
 	Members func() int
-	// Runs takes in streams, so that they can be moved; nil moves none.
+	// Runs registers streams whose runs can be migrated. If nil, no run is
+	// migrated.
 	Runs Runs
-	// Suspects knows requests that crash endpoints; nil knows none. Reachable
-	// tells whether an endpoint takes connections.
+	// Suspects tracks requests that crash endpoints. If it is nil, no request
+	// is suspected. Reachable reports whether an endpoint accepts connections.
+	// If it is nil, crashes and stalled streams are not detected.
 	Suspects  Suspects
 	Reachable func(ctx context.Context, address string) bool
-	// Meter counts; nil counts nothing.
+	// Meter records metrics. If nil, none are recorded.
 	Meter *Meter
 
-	outputs outputs
+	outputEstimator outputEstimator
 }
 
-// Ages bounds the age of proofs.
+// Ages limits the staleness of the configuration that a decision may rest on,
+// counted from the time at which the store last confirmed it.
 type Ages struct {
-	// Key is for the proof that a caller's key is still valid.
+	// Key is the limit for accepting a caller's key as still valid.
 	Key time.Duration
-	// Deny is for the proof that a route or key does not exist.
+	// Deny is the limit for permanently refusing a request because its route or
+	// key does not exist. Beyond it, the refusal is temporary, since a newer
+	// configuration may have the route or key.
 	Deny time.Duration
 }
 
-// task is a request under way.
+// task is a request in progress.
 type task struct {
 	*Request
 	route   routing.Route
 	service routing.Service
 	team    string
-	// open tells that no team is configured, so that credentials are the
-	// endpoints' affair.
-	open     bool
-	deadline time.Time
-	// ran counts the attempts that may have run.
+	// passCredential is set if no team is configured. Endpoints then check
+	// credentials themselves.
+	passCredential bool
+	deadline       time.Time
+	// ran is the number of attempts that an endpoint may have run.
 	ran int
-	// arrivals counts the attempts that may have reached an endpoint.
+	// arrivals is the number of attempts that may have reached an endpoint,
+	// including those that were rejected without running.
 	arrivals int
 	tried    map[string]bool
-	// fingerprint is the same for all sendings of a request; see suspect.go.
+	// fingerprint identifies the request across resubmissions by the caller. It
+	// is zero if Dispatcher.Suspects is nil. See computeFingerprint.
 	fingerprint uint64
 }
 
-// Serve answers one request. Canceling ctx gives it up.
+// Serve answers one request. Canceling ctx abandons the request. The caller
+// must close Reply.Events if it is not nil.
 func (di *Dispatcher) Serve(ctx context.Context, re *Request) Reply {
 	rp := di.serve(ctx, re)
-	di.Meter.reply(rp, di.Clock.Since(re.Arrived))
+	di.Meter.countReply(rp, di.Clock.Since(re.Arrived))
 	return rp
 }
 
@@ -89,12 +99,13 @@
 	}
 	di.Budget.Arrived(ta.service.Name)
 	if ta.route.Repeat == routing.Streaming {
-		return di.stream(ctx, ta)
+		return di.serveStream(ctx, ta)
 	}
-	return di.call(ctx, ta)
+	return di.serveBuffered(ctx, ta)
 }
 
-// admit finds what the configuration says of a request.
+// admit checks a request against the configuration: its route, body size, key,
+// service and suspicion of crashing endpoints.
 func (di *Dispatcher) admit(re *Request) (*task, *refusal.Error) {
 	cf := di.State.Load()
 	age, proven := di.State.Age()
@@ -108,14 +119,14 @@
 	if bound := cf.Limits().BodyBytes; bound > 0 && len(re.Body) > bound {
 		return nil, refusal.New(refusal.TooLarge, "the body is over "+strconv.Itoa(bound)+" bytes")
 	}
-	ta := &task{Request: re, route: route, open: !cf.HasTeams()}
+	ta := &task{Request: re, route: route, passCredential: !cf.HasTeams()}
 	if cf.NeedsKey(route) {
 		team, known := cf.Team(re.Key)
 		switch {
 		case !re.HasKey || !known:
 			return nil, di.deny(age, refusal.New(refusal.Unauthenticated, "the key is not known"))
 		case age > di.Ages().Key:
-			return nil, di.stale(age, "keys")
+			return nil, di.staleRefusal(age, "keys")
 		}
 		ta.team = team.Name
 	}
@@ -123,38 +134,41 @@
 	if !found {
 		return nil, refusal.New(refusal.NoCapacity, "the route's service is not configured")
 	}
-	if er := di.suspected(ta); er != nil {
+	if er := di.checkSuspect(ta); er != nil {
 		return nil, er
 	}
-	ta.deadline = re.Arrived.Add(boundOf(route.Timeout, re.Budget))
+	ta.deadline = re.Arrived.Add(requestTimeout(route.Timeout, re.Budget))
 	return ta, nil
 }
 
-// The pauses that refused callers are asked to make.
+// Values of Retry-After for refused callers.
 const (
 	startRetryAfter = 300 * time.Millisecond
 	staleRetryAfter = 500 * time.Millisecond
 	busyRetryAfter  = 250 * time.Millisecond
 )
 
-// deny refuses for good, or for now if a newer configuration may allow it.
+// deny returns er if the configuration is fresh enough for a permanent refusal,
+// and otherwise a temporary refusal, since a newer configuration may allow the
+// request.
 func (di *Dispatcher) deny(age time.Duration, er *refusal.Error) *refusal.Error {
 	if age <= di.Ages().Deny {
 		return er
 	}
-	return di.stale(age, "routes")
+	return di.staleRefusal(age, "routes")
 }
 
-func (di *Dispatcher) stale(age time.Duration, what string) *refusal.Error {
-	detail := "the store has not confirmed " + what + " for " + age.Truncate(time.Millisecond).String()
+func (di *Dispatcher) staleRefusal(age time.Duration, subject string) *refusal.Error {
+	detail := "the store has not confirmed " + subject + " for " + age.Truncate(time.Millisecond).String()
 	return refusal.New(refusal.StaleConfiguration, detail).WithRetryAfter(staleRetryAfter)
 }
 
-// unboundedTime stands for the time of a request without any bound.
-const unboundedTime = 10 * time.Minute
+// maxRequestTime limits every request. It applies alone if neither the route
+// nor the caller sets a timeout.
+const maxRequestTime = 10 * time.Minute
 
-func boundOf(timeout, budget time.Duration) time.Duration {
-	bound := unboundedTime
+func requestTimeout(timeout, budget time.Duration) time.Duration {
+	bound := maxRequestTime
 	if timeout > 0 {
 		bound = min(bound, timeout)
 	}
@@ -172,34 +186,35 @@
 	age, _ := di.State.Age()
 	di.Log.Info().Str("event", "refused").Str("request", re.ID).Str("reason", string(er.Reason)).
 		Str("outcome", string(er.Rule().Outcome)).Int64("version", version).Dur("proof_age", age).
-		Dur("took", di.Clock.Since(re.Arrived)).Str("detail", er.Detail).AnErr("cause", er.Err).Msg("dispatch: refused")
+		Dur("took", di.Clock.Since(re.Arrived)).Str("detail", er.Detail).AnErr("cause", er.Err).Msg("dispatch: request refused")
 	return Reply{Refusal: er}
 }
 
-// work is what a task asks of an endpoint.
+// work describes the load that a task puts on an endpoint.
 func (di *Dispatcher) work(ta *task) placement.Work {
-	wo := placement.Work{Engine: ta.service.Engine, Prompt: ta.Prompt.Tokens, Output: di.outputs.expect(ta.route.Name, ta.Prompt)}
+	wo := placement.Work{Engine: ta.service.Engine, Prompt: ta.Prompt.Tokens, Output: di.outputEstimator.estimate(ta.route.Name, ta.Prompt)}
 	if ta.service.ColdRate > 0 {
 		wo.ColdRate = max(ta.service.ColdRate/float64(max(di.Members(), 1)), 1)
 	}
 	return wo
 }
 
-// choose finds an endpoint that the task has not tried.
-func (di *Dispatcher) choose(ta *task, wo placement.Work) (roster.Endpoint, *refusal.Error) {
+// chooseEndpoint returns a ready endpoint that the task has not tried yet.
+func (di *Dispatcher) chooseEndpoint(ta *task, wo placement.Work) (roster.Endpoint, *refusal.Error) {
 	ready := di.Roster.View().Ready(ta.service.Name)
 	ch, found := di.Board.Choose(ready, wo, ta.tried)
 	if found {
-		di.placed(ta, ch, len(ready))
+		di.logPlacement(ta, ch, len(ready))
 		return ch.Endpoint, nil
 	}
 	er := refusal.New(refusal.NoCapacity, "no endpoint of "+ta.service.Name+" can take the request")
 	return ch.Endpoint, er.WithRetryAfter(busyRetryAfter)
 }
 
-// placed logs why a generation goes to its engine. Plain calls are too many to
-// be logged one by one; theirs are the attempts that fail.
-func (di *Dispatcher) placed(ta *task, ch placement.Choice, ready int) {
+// logPlacement logs the choice of an engine for a generation. Requests to plain
+// services are too numerous to log one by one, so only their failed attempts
+// are logged.
+func (di *Dispatcher) logPlacement(ta *task, ch placement.Choice, ready int) {
 	if ta.service.Engine == nil {
 		return
 	}
@@ -208,13 +223,11 @@
 		Int("ready", ready).Int("prompt", ta.Prompt.Tokens).Msg("dispatch: engine chosen")
 }
 
-// mark remembers that an endpoint was tried.
-func (ta *task) mark(en roster.Endpoint) {
+func (ta *task) markTried(en roster.Endpoint) {
 	if ta.tried == nil {
 		ta.tried = make(map[string]bool)
 	}
 	ta.tried[en.ID] = true
 }
 
-// left returns the time until the task's deadline.
-func (ta *task) left(now time.Time) time.Duration { return ta.deadline.Sub(now) }
+func (ta *task) remaining(now time.Time) time.Duration { return ta.deadline.Sub(now) }
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,16 +1,17 @@
-// Package dispatch answers requests of callers whose form is that of a
-// platform: it finds the route and the team, chooses an endpoint, sends the
-// request there, sends it again where that is allowed, and hands the answer
-// back whole.
+// Package dispatch answers requests that arrive in a platform's format. It
+// finds the route and the team of a request, chooses an endpoint, sends the
+// request there, sends it again where that is allowed, and returns the
+// complete answer or the stream of events.
 //
-// What may be repeated follows from the route alone. A request that is not
-// idempotent is sent again only if the endpoint has proved that it did not
-// run. A stream goes on at another endpoint only as the same run: from memory
-// that was moved there (internal/migration), or from a standby copy that its
-// engine kept there while it ran (standby.go).
+// The route alone determines what may be repeated. A request that is not
+// idempotent is sent again only if the endpoint has proved that it did not run
+// the request, or if no connection to the endpoint was made. An interrupted
+// stream continues at another endpoint only as the same run, either from a
+// KV-cache copy made by a migration (internal/migration) or from a standby copy
+// that its engine kept up to date there (standby.go).
 //
-// The package knows no names of a platform. A Codec makes calls out of
-// attempts and says what an answer proves.
+// The package is independent of the names that a platform uses on the wire. A
+// Codec encodes attempts as calls and evaluates what an answer proves.
 //
 // # Usage
 //
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/harness_test.go
@@ -26,7 +26,8 @@
 	"filbertstall.example/filbertstall/internal/upstream"
 )
 
-// testCodec is a small platform: its header fields are those of the tests.
+// testCodec implements a minimal platform. Its header fields exist only in
+// these tests.
 type testCodec struct{}
 
 func (testCodec) Call(re *Request, at Attempt) upstream.Call {
@@ -49,14 +50,15 @@
 	return Verdict{Genuine: an.Get("Proof") != "", NotRun: an.Get("Not-Run") != "", Misdirected: an.Status == http.StatusMisdirectedRequest}
 }
 
-// replica is a stand-in endpoint over TCP. It answers by a script.
+// replica is a simulated endpoint on a TCP port. Its script answers each
+// request.
 type replica struct {
 	net.Listener
-	id     string
-	mu     sync.Mutex
-	ran    []string
-	heads  []http.Header
-	script func(conn net.Conn, re *http.Request)
+	id         string
+	mu         sync.Mutex
+	requestIDs []string
+	headers    []http.Header
+	script     func(conn net.Conn, re *http.Request)
 }
 
 func (rp *replica) serve() {
@@ -77,8 +79,8 @@
 					return
 				}
 				rp.mu.Lock()
-				rp.ran = append(rp.ran, re.Header.Get("Id"))
-				rp.heads = append(rp.heads, re.Header)
+				rp.requestIDs = append(rp.requestIDs, re.Header.Get("Id"))
+				rp.headers = append(rp.headers, re.Header)
 				rp.mu.Unlock()
 				rp.script(conn, re)
 			}
@@ -86,19 +88,19 @@
 	}
 }
 
-func (rp *replica) got() int {
+func (rp *replica) requestCount() int {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
-	return len(rp.ran)
+	return len(rp.requestIDs)
 }
 
-func (rp *replica) lastHead() http.Header {
+func (rp *replica) lastHeader() http.Header {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
-	return rp.heads[len(rp.heads)-1]
+	return rp.headers[len(rp.headers)-1]
 }
 
-// The scripts of endpoints.
+// Scripts for replicas.
 
 func reply(status int, fields, body string) func(net.Conn, *http.Request) {
 	return func(conn net.Conn, re *http.Request) {
@@ -107,25 +109,26 @@
 }
 
 var (
-	succeeds = reply(200, "Proof: p\r\n", "answer")
-	fails    = reply(500, "Proof: p\r\n", "failed")
-	unproved = reply(200, "", "forged")
-	busy     = reply(503, "Not-Run: 1\r\n", "")
-	moved    = reply(421, "", "")
+	succeeds    = reply(200, "Proof: p\r\n", "answer")
+	fails       = reply(500, "Proof: p\r\n", "failed")
+	unsigned    = reply(200, "", "forged")
+	busy        = reply(503, "Not-Run: 1\r\n", "")
+	misdirected = reply(421, "", "")
 )
 
 func breaks(conn net.Conn, _ *http.Request) { _ = conn.Close() }
 
 func hangs(conn net.Conn, _ *http.Request) { _, _ = conn.Read(make([]byte, 1)) }
 
-// events streams numbered events, and ends as told.
-func events(from, to int, whole bool) func(net.Conn, *http.Request) {
+// events streams numbered events. If complete is not set, it closes the
+// connection in the middle of another event.
+func events(from, to int, complete bool) func(net.Conn, *http.Request) {
 	return func(conn net.Conn, re *http.Request) {
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nProof: p\r\nTransfer-Encoding: chunked\r\n\r\n", re.Header.Get("Id"))
 		for ix := from; ix <= to; ix++ {
 			chunk(conn, fmt.Sprintf("id: %d\ndata: x\n\n", ix))
 		}
-		if whole {
+		if complete {
 			_, _ = io.WriteString(conn, "0\r\n\r\n")
 			return
 		}
@@ -136,20 +139,20 @@
 
 func chunk(conn net.Conn, text string) { _, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text) }
 
-// world is a dispatcher before stand-in endpoints.
-type world struct {
+// harness is a dispatcher with simulated endpoints.
+type harness struct {
 	*Dispatcher
 	t        *testing.T
 	boot     *boottime.Manual
 	replicas []*replica
 }
 
-func newWorld(t *testing.T, scripts ...func(net.Conn, *http.Request)) *world {
+func newHarness(t *testing.T, scripts ...func(net.Conn, *http.Request)) *harness {
 	t.Helper()
 	clock := clockwork.NewRealClock()
 	boot := &boottime.Manual{}
 	boot.Advance(time.Hour)
-	wo := &world{t: t, boot: boot, Dispatcher: &Dispatcher{
+	ha := &harness{t: t, boot: boot, Dispatcher: &Dispatcher{
 		State: &routing.State{Clock: boot}, Roster: &roster.Roster{Clock: clock, Log: zerolog.Nop()},
 		Board:  &placement.Board{Clock: clock, Zone: "a", Instance: "i"},
 		Budget: &budget.Window{Clock: clock, Span: time.Minute, Extra: func() float64 { return 2 }},
@@ -159,33 +162,33 @@
 	}}
 	var list []feed.Object[roster.Endpoint]
 	for ix, script := range scripts {
-		rp := wo.addReplica("e"+strconv.Itoa(ix), script)
+		rp := ha.addReplica("e"+strconv.Itoa(ix), script)
 		list = append(list, feed.Object[roster.Endpoint]{Name: rp.id, Value: &roster.Endpoint{
 			ID: rp.id, Service: "s", Zone: "a", Address: rp.Addr().String(), Slots: 4,
 		}})
 	}
-	wo.Roster.Reset(list)
-	wo.configure(1, "key")
-	return wo
+	ha.Roster.Reset(list)
+	ha.configure(1, "key")
+	return ha
 }
 
-func (wo *world) addReplica(id string, script func(net.Conn, *http.Request)) *replica {
+func (ha *harness) addReplica(id string, script func(net.Conn, *http.Request)) *replica {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		wo.t.Fatal(err)
+		ha.t.Fatal(err)
 	}
 	rp := &replica{Listener: ln, id: id, script: script}
-	wo.t.Cleanup(func() { _ = ln.Close() })
+	ha.t.Cleanup(func() { _ = ln.Close() })
 	go rp.serve()
-	wo.replicas = append(wo.replicas, rp)
+	ha.replicas = append(ha.replicas, rp)
 	return rp
 }
 
-func (wo *world) configure(version int64, keys ...string) {
+func (ha *harness) configure(version int64, keys ...string) {
 	shares := []routing.Share{{Service: "s", Weight: 1}}
 	const timeout = 2 * time.Second
 	engine := &routing.Engine{Slots: 4, MemoryTokens: 10_000, Migrates: true, Standbys: true, TokensPerEvent: 4}
-	wo.State.Put(routing.New(routing.Spec{
+	ha.State.Put(routing.New(routing.Spec{
 		Version: version,
 		Routes: []routing.Route{
 			{Host: "h", PathPrefix: "/read/", Repeat: routing.Idempotent, MaxAttempts: 2, Timeout: timeout, Shares: shares},
@@ -198,37 +201,38 @@
 		Limits:   routing.Limits{BodyBytes: 1000},
 		Teams:    []routing.Team{{Name: "team", Keys: keys}},
 	}))
-	wo.State.Confirm(wo.boot.Now())
+	ha.State.Confirm(ha.boot.Now())
 }
 
-// engine describes the engines of the world's service.
-func (wo *world) engine() *routing.Engine {
-	se, _ := wo.State.Load().Service("s")
+// engine returns the engine description of the harness's service.
+func (ha *harness) engine() *routing.Engine {
+	se, _ := ha.State.Load().Service("s")
 	return se.Engine
 }
 
-// restart lets an endpoint register under another start, shunned by nobody.
-func (wo *world) restart(en roster.Endpoint) {
-	wo.Roster.Apply([]feed.Change[roster.Endpoint]{{Object: feed.Object[roster.Endpoint]{Name: en.ID, Value: &en}}})
+// restart registers an endpoint with another start time. It gets requests at
+// once, since it is not in the back-off that follows a failed connection.
+func (ha *harness) restart(en roster.Endpoint) {
+	ha.Roster.Apply([]feed.Change[roster.Endpoint]{{Object: feed.Object[roster.Endpoint]{Name: en.ID, Value: &en}}})
 }
 
 var lastID int
 
-func (wo *world) request(path string) *Request {
+func (ha *harness) request(path string) *Request {
 	lastID++
 	return &Request{
 		ID: strconv.Itoa(lastID), Method: "POST", Target: path, Path: path, Host: "h", Body: []byte("b"), HasBody: true,
-		Key: "key", HasKey: true, Arrived: wo.Clock.Now(), Prompt: Prompt{Tokens: 100, MaxOutput: 40},
+		Key: "key", HasKey: true, Arrived: ha.Clock.Now(), Prompt: Prompt{Tokens: 100, MaxOutput: 40},
 	}
 }
 
-func (wo *world) send(path string) Reply { return wo.Serve(context.Background(), wo.request(path)) }
+func (ha *harness) send(path string) Reply { return ha.Serve(context.Background(), ha.request(path)) }
 
-// runs returns how many requests the endpoints got in all.
-func (wo *world) runs() int {
+// runs returns the total number of requests that the endpoints have received.
+func (ha *harness) runs() int {
 	count := 0
-	for _, rp := range wo.replicas {
-		count += rp.got()
+	for _, rp := range ha.replicas {
+		count += rp.requestCount()
 	}
 	return count
 }
@@ -240,7 +244,7 @@
 	return rp.Refusal.Reason
 }
 
-// readEvents reads a stream to its end.
+// readEvents reads a stream to its end and closes it.
 func readEvents(rp Reply) (string, error) {
 	defer func() { _ = rp.Events.Close() }()
 	data, err := io.ReadAll(rp.Events)
--- a/internal/dispatch/meter.go
+++ b/internal/dispatch/meter.go
@@ -7,17 +7,18 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Meter counts replies and attempts, and keeps latencies. A nil Meter counts
-// nothing.
+// Meter records counts of replies and attempts, and reply latencies. A nil
+// Meter records nothing.
 type Meter struct {
 	Scope tally.Scope
 }
 
-// replyBuckets are the bounds of the latency histogram.
+// replyBuckets are the upper bounds of the latency histogram.
 var replyBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 13)
 
-// reply counts one reply; for a stream, the time is that to its first event.
-func (me *Meter) reply(rp Reply, took time.Duration) {
+// countReply counts one reply and records its latency. For a stream, this is
+// the time until its header arrives.
+func (me *Meter) countReply(rp Reply, took time.Duration) {
 	if me == nil {
 		return
 	}
@@ -29,8 +30,8 @@
 	me.Scope.Histogram("reply_seconds", replyBuckets).RecordDuration(took)
 }
 
-// attempt counts what became of an attempt.
-func (me *Meter) attempt(how string) {
+// countAttempt counts one attempt by its outcome.
+func (me *Meter) countAttempt(how string) {
 	if me == nil {
 		return
 	}
--- a/internal/dispatch/output.go
+++ b/internal/dispatch/output.go
@@ -3,39 +3,42 @@
 import "sync"
 
 const (
-	// outputWeight is how much one answer moves the average of its route.
-	outputWeight = 0.05
-	// firstShare is the share of the bound that answers are taken to have before
-	// any was seen.
-	firstShare = 0.35
-	// meanFill is the share of its output that a generation holds in the mean
-	// over its time: it grows from nothing.
-	meanFill = 0.5
+	// ewmaWeight is the weight of one answer in the moving average of its
+	// route.
+	ewmaWeight = 0.05
+	// initialOutputShare is the assumed ratio of an answer's length to its
+	// limit before any answer of the route has been observed.
+	initialOutputShare = 0.35
+	// meanMemoryShare is the ratio of the memory of a generation's output,
+	// averaged over its duration, to the memory at its end: the output grows
+	// from zero.
+	meanMemoryShare = 0.5
 )
 
-// outputs learns how many tokens the answers of routes have. Callers' own
-// guesses are often off by a factor of ten, and the bound is far above most
-// answers, so placement plans with the mean of the route. The zero value is
-// ready. It is safe for concurrent use.
-type outputs struct {
+// outputEstimator estimates the number of tokens in the answers of each route
+// by an exponentially weighted moving average. Placement uses this estimate
+// because callers' own estimates are often wrong by a factor of ten, and the
+// limit is far above the length of most answers. The zero value is ready to
+// use. It is safe for concurrent use.
+type outputEstimator struct {
 	mu    sync.Mutex
 	means map[string]float64
 }
 
-// expect returns how many tokens of memory the answer to a request takes up in
-// the mean over its time.
-func (ou *outputs) expect(route string, pr Prompt) int {
+// estimate returns how many tokens of engine memory the answer to a request
+// occupies, averaged over the duration of the generation.
+func (ou *outputEstimator) estimate(route string, pr Prompt) int {
 	ou.mu.Lock()
 	defer ou.mu.Unlock()
 	mean, known := ou.means[route]
 	if !known {
-		mean = firstShare * float64(pr.MaxOutput)
+		mean = initialOutputShare * float64(pr.MaxOutput)
 	}
-	return int(meanFill * min(mean, float64(pr.MaxOutput)))
+	return int(meanMemoryShare * min(mean, float64(pr.MaxOutput)))
 }
 
-// learn takes in a whole answer.
-func (ou *outputs) learn(route string, tokens int) {
+// observe records the length of a complete answer.
+func (ou *outputEstimator) observe(route string, tokens int) {
 	ou.mu.Lock()
 	defer ou.mu.Unlock()
 	if ou.means == nil {
@@ -45,5 +48,5 @@
 	if !known {
 		mean = float64(tokens)
 	}
-	ou.means[route] = mean + outputWeight*(float64(tokens)-mean)
+	ou.means[route] = mean + ewmaWeight*(float64(tokens)-mean)
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -9,100 +9,109 @@
 	"filbertstall.example/filbertstall/internal/upstream"
 )
 
-// Part is one part of a prompt; requests share parts.
+// Part is a section of a prompt. Several requests may have the same part.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what a request says of the generation that it asks for.
+// Prompt describes the generation that a request asks for.
 type Prompt struct {
 	Tokens int
-	// MaxOutput bounds the tokens that are generated.
+	// MaxOutput limits the number of generated tokens.
 	MaxOutput int
-	// Hint is the caller's guess at that number; zero means none.
+	// Hint is the caller's estimate of the number of generated tokens. Zero
+	// means that there is none.
 	Hint  int
 	Parts []Part
 }
 
-// Request is one request of a caller.
+// Request is a request of a caller, decoded by a platform's codec.
 type Request struct {
 	ID     string
 	Method string
-	// Target is the path and query as they came; Path is the path alone.
+	// Target is the path and query as received. Path is the path alone.
 	Target string
 	Path   string
 	Host   string
-	// Headers are those that endpoints get, as they came.
+	// Headers are the header fields to forward to endpoints, as received.
 	Headers []upstream.Header
 	Body    []byte
 	HasBody bool
-	// Key is the caller's; HasKey tells whether one was sent.
+	// Key is the caller's API key. HasKey reports whether the request had one.
 	Key    string
 	HasKey bool
-	// Credential is what the key came in, as it came.
+	// Credential is the received header value that contains the key.
 	Credential string
-	// Budget is how long the caller waits, from Arrived; zero means without end.
+	// Budget is how long the caller waits, counted from Arrived. Zero means no
+	// limit.
 	Budget  time.Duration
 	Arrived time.Time
 	Prompt  Prompt
 }
 
-// Resume says how an attempt goes on with a run from memory that was copied.
+// Resume identifies a copy of a run's KV cache from which an attempt continues
+// the run.
 type Resume struct {
-	// Source is the address of the endpoint that made the copy.
+	// Source is the address of the endpoint that made the copy. For a standby
+	// copy, it is the address of the endpoint that keeps it.
 	Source string
-	// Handle names the copy.
+	// Handle is the ID of the copy.
 	Handle string
-	// LastEvent is the id of the last event that the caller got, or empty.
+	// LastEvent is the ID of the last event that the caller received. It is
+	// empty if there is none.
 	LastEvent string
 }
 
-// Attempt is one sending of a request to an endpoint.
+// Attempt holds the parameters of sending a request to one endpoint.
 type Attempt struct {
 	Endpoint roster.Endpoint
-	// Left is how long the endpoint may work.
+	// Left is the time that remains until the request's deadline.
 	Left time.Duration
-	// Team is empty where the route needs no key.
+	// Team is the caller's team. It is empty if the route needs no key.
 	Team string
-	// PassCredential tells that the endpoint gets the caller's credential.
+	// PassCredential reports whether the caller's credential is forwarded to
+	// the endpoint.
 	PassCredential bool
-	// Resume is nil for a run from the start.
+	// Resume is nil if the run starts from the beginning.
 	Resume *Resume
-	// Standby is the address of the engine that keeps a copy of the run; empty
-	// means none.
+	// Standby is the address of the engine that keeps a standby copy of the
+	// run. It is empty if there is none.
 	Standby string
-	// MaxIdle is how long the connection may have been idle.
+	// MaxIdle is the longest time for which a reused connection may have been
+	// idle. Zero requires a new connection.
 	MaxIdle time.Duration
 }
 
-// Verdict is what an endpoint's answer proves.
+// Verdict is what the status and header of an answer prove.
 type Verdict struct {
-	// Genuine answers bear the endpoint's proof and are in the form that was
-	// asked for.
+	// Genuine reports that the answer carries the endpoint's signature and has
+	// the requested form.
 	Genuine bool
-	// NotRun means that the endpoint did not run the request.
+	// NotRun reports that the endpoint did not run the request.
 	NotRun bool
-	// Misdirected means that another endpoint has the address now.
+	// Misdirected reports that the address now belongs to another endpoint.
 	Misdirected bool
 }
 
-// Codec speaks a platform's form of requests.
+// Codec translates between requests and the wire format of a platform.
 type Codec interface {
-	// Call makes the call of an attempt.
+	// Call encodes an attempt as a call to its endpoint.
 	Call(re *Request, at Attempt) upstream.Call
-	// Verdict judges an answer by its status and header.
+	// Verdict evaluates the status and header of an answer.
 	Verdict(an *upstream.Answer) Verdict
 }
 
-// Reply is what a caller gets. One of Refusal, Body and Events is of use.
+// Reply is the answer to a caller. Refusal is set, or Status and Headers with
+// either Body or Events.
 type Reply struct {
-	// Refusal is the instance's own answer.
+	// Refusal is set if the instance answers by itself instead of forwarding an
+	// endpoint's answer.
 	Refusal *refusal.Error
 	Status  int
 	Headers []upstream.Header
 	Body    []byte
-	// Events is a stream's body; an error other than io.EOF means that the
-	// stream ends before its end. It must be closed.
+	// Events is the body of a stream. A read error other than io.EOF means that
+	// the stream is incomplete. The caller must close Events.
 	Events io.ReadCloser
 }
--- a/internal/dispatch/stall.go
+++ b/internal/dispatch/stall.go
@@ -6,46 +6,49 @@
 )
 
 const (
-	// stallTime is the pause between events after which the engine is looked at.
-	// A pause alone proves nothing: engines preempt runs for seconds.
-	stallTime = 800 * time.Millisecond
-	// stallLooks is how many looks in a row must fail: one packet may be lost.
-	stallLooks = 2
+	// stallTimeout is the time without received data after which the engine is
+	// probed. A pause alone is no sign of failure, because engines preempt runs
+	// for seconds.
+	stallTimeout = 800 * time.Millisecond
+	// stallProbes is the number of consecutive probes that must fail. One probe
+	// may fail because of a single lost packet.
+	stallProbes = 2
 )
 
-// watch looks after the stream that is read now: a path that is cut goes silent
-// without a word, and the run can go on from its standby copy. Without a copy
-// there is nothing better than to wait.
-func (se *session) watch() {
+// startStallTimer watches the current answer for a stall. An interrupted path
+// delivers no error, only silence, and aborting the answer lets the run
+// continue from its standby copy. Streams without a standby copy are not
+// watched, since they can only wait.
+func (se *session) startStallTimer() {
 	if se.standby == nil || se.di.Reachable == nil {
 		return
 	}
 	an, en := se.answer, se.endpoint
-	se.stall = se.di.Clock.AfterFunc(stallTime, func() {
-		for range stallLooks {
-			ctx, cancel := context.WithTimeout(se.ctx, lookTime)
+	se.stallTimer = se.di.Clock.AfterFunc(stallTimeout, func() {
+		for range stallProbes {
+			ctx, cancel := context.WithTimeout(se.ctx, probeTimeout)
 			reachable := se.di.Reachable(ctx, en.Address)
 			cancel()
 			if reachable || se.ctx.Err() != nil {
 				return
 			}
 		}
-		se.di.Log.Info().Str("event", "stream_stalled").Str("request", se.ta.ID).Str("endpoint", en.ID).Msg("dispatch: the engine can't be reached, its stream is let go")
+		se.di.Log.Info().Str("event", "stream_stalled").Str("request", se.ta.ID).Str("endpoint", en.ID).Msg("dispatch: engine is unreachable; aborting its stream")
 		an.Abort()
 	})
 }
 
-// progressed puts off the look at the engine.
-func (se *session) progressed() {
-	if se.stall != nil {
-		se.stall.Reset(stallTime)
+// resetStallTimer postpones the probe after data has been received.
+func (se *session) resetStallTimer() {
+	if se.stallTimer != nil {
+		se.stallTimer.Reset(stallTimeout)
 	}
 }
 
-// unwatch ends the watch over the stream that was read.
-func (se *session) unwatch() {
-	if se.stall != nil {
-		se.stall.Stop()
-		se.stall = nil
+// stopStallTimer ends the watch started by startStallTimer.
+func (se *session) stopStallTimer() {
+	if se.stallTimer != nil {
+		se.stallTimer.Stop()
+		se.stallTimer = nil
 	}
 }
--- a/internal/dispatch/standby.go
+++ b/internal/dispatch/standby.go
@@ -6,20 +6,22 @@
 	"filbertstall.example/filbertstall/internal/roster"
 )
 
-// leastStandbyOutput is the expected output, in tokens, from which a run gets a
-// standby copy: a short one is over before its engine is likely to go.
-const leastStandbyOutput = 64
+// minStandbyTokens is the expected output from which a run gets a standby copy.
+// A shorter run most likely ends before its engine fails.
+const minStandbyTokens = 64
 
-// standby is the engine that keeps a copy of a run as it grows. Nil means none.
+// standby is the engine that keeps an incrementally updated copy of a run. A
+// nil standby means that there is no copy.
 type standby struct {
 	endpoint roster.Endpoint
 	ticket   *placement.Ticket
 }
 
-// keepCopy chooses the engine that keeps a copy of the task's run at another
-// one, or returns nil if none is worth it or has memory to spare.
-func (di *Dispatcher) keepCopy(ta *task, primary roster.Endpoint, wo placement.Work) *standby {
-	if wo.Engine == nil || !wo.Engine.Standbys || wo.Output < leastStandbyOutput {
+// reserveStandby chooses an engine for the standby copy of a run on primary and
+// reserves memory there. It returns nil if the service keeps no standby copies,
+// the run is too short to need one, or no engine has enough free memory.
+func (di *Dispatcher) reserveStandby(ta *task, primary roster.Endpoint, wo placement.Work) *standby {
+	if wo.Engine == nil || !wo.Engine.Standbys || wo.Output < minStandbyTokens {
 		return nil
 	}
 	en, found := di.Board.ChooseStandby(di.Roster.View().Ready(ta.service.Name), wo, primary.ID)
@@ -29,7 +31,8 @@
 	return &standby{endpoint: en, ticket: di.Board.Reserve(en, wo)}
 }
 
-// address is where the copy is kept, or empty.
+// address returns the address of the engine that keeps the copy, or an empty
+// string if sb is nil.
 func (sb *standby) address() string {
 	if sb == nil {
 		return ""
@@ -37,7 +40,8 @@
 	return sb.endpoint.Address
 }
 
-// id is that of the engine that keeps the copy, or empty.
+// id returns the ID of the engine that keeps the copy, or an empty string if sb
+// is nil.
 func (sb *standby) id() string {
 	if sb == nil {
 		return ""
@@ -45,16 +49,17 @@
 	return sb.endpoint.ID
 }
 
-// release ends the account of a copy that is not needed any more.
+// release ends the memory reservation. It has no effect on a nil standby.
 func (sb *standby) release() {
 	if sb != nil {
 		sb.ticket.End(placement.Done)
 	}
 }
 
-// takeOver returns how a broken run goes on from its standby copy. It returns
-// false if there is none, or if its engine may get nothing any more: one that
-// leaves, or whose zone operators have emptied since.
+// takeOver lets an interrupted run continue on the engine of its standby copy.
+// It returns false if there is no copy, or if its engine has restarted or may
+// not get new requests because it is leaving or operators have evacuated its
+// zone. The copy cannot be used again.
 func (se *session) takeOver() (migration.Moved, bool) {
 	sb := se.standby
 	se.standby = nil
@@ -69,6 +74,6 @@
 	ti := se.di.Board.Begin(en, se.work)
 	ti.Started()
 	se.di.Log.Info().Str("event", "taken_over").Str("request", se.ta.ID).Str("endpoint", se.endpoint.ID).Str("target", en.ID).
-		Str("last_event", se.last).Msg("dispatch: the run goes on from its standby copy")
+		Str("last_event", se.lastEvent).Msg("dispatch: resuming the run from its standby copy")
 	return migration.Moved{From: en, Handle: se.ta.ID, Target: en, Ticket: ti}, true
 }
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -16,31 +16,32 @@
 	"filbertstall.example/filbertstall/internal/upstream"
 )
 
-// Runs takes in streams that can be moved; migration.Mover is one.
+// Runs registers streams whose runs can be migrated. migration.Mover implements
+// it.
 type Runs interface {
 	Add(*migration.Run)
 	Remove(*migration.Run)
 }
 
-// errBroken is what a stream ends with that can't go on.
-var errBroken = errors.New("dispatch: the stream broke and can't go on")
+// errStreamBroken is the read error of an incomplete stream.
+var errStreamBroken = errors.New("dispatch: stream interrupted and cannot be resumed")
 
-// stream answers a request by the events of one run.
-func (di *Dispatcher) stream(ctx context.Context, ta *task) Reply {
+// serveStream answers a request with the events of one run.
+func (di *Dispatcher) serveStream(ctx context.Context, ta *task) Reply {
 	ctx, cancel := context.WithDeadline(ctx, ta.deadline)
 	wo := di.work(ta)
 	for {
-		en, er := di.choose(ta, wo)
+		en, er := di.chooseEndpoint(ta, wo)
 		if er != nil {
 			cancel()
 			return di.refuse(ta.Request, er)
 		}
-		pl := place{endpoint: en, work: wo, standby: di.keepCopy(ta, en, wo)}
+		pl := destination{endpoint: en, work: wo, standby: di.reserveStandby(ta, en, wo)}
 		re := di.attempt(ctx, ta, pl)
 		if re.step != deliver || re.answer.Status != http.StatusOK {
 			pl.standby.release()
 		}
-		if re.step == again {
+		if re.step == retry {
 			continue
 		}
 		if re.step == giveUp {
@@ -49,20 +50,21 @@
 		}
 		if re.answer.Status != http.StatusOK {
 			defer cancel()
-			re = di.whole(ctx, ta, en, re)
+			re = di.readBody(ctx, ta, en, re)
 			if re.step != deliver {
 				return di.refuse(ta.Request, re.refusal)
 			}
 			return Reply{Status: re.answer.Status, Headers: re.answer.Headers, Body: re.body}
 		}
-		se := di.open(ctx, cancel, ta, pl, re)
+		se := di.openSession(ctx, cancel, ta, pl, re)
 		return Reply{Status: re.answer.Status, Headers: re.answer.Headers, Events: se}
 	}
 }
 
-// session is a stream that goes to its caller. One goroutine reads it.
+// session is a stream that is being delivered to its caller. Only one goroutine
+// may read it.
 type session struct {
-	place
+	destination
 	di     *Dispatcher
 	ta     *task
 	ctx    context.Context
@@ -70,128 +72,131 @@
 	answer *upstream.Answer
 	ticket *placement.Ticket
 	run    *migration.Run
-	// pending is read of the answer; the first whole bytes of it are events.
-	pending []byte
-	whole   int
-	// last is the id of the last event that is whole.
-	last   string
-	events int
-	ended  error
-	// lastAt is when the last event was whole.
-	lastAt time.Time
-	moves  int
-	// stall runs while events are awaited; nil runs never.
-	stall clockwork.Timer
+	// pending holds data that was read from the answer and not yet delivered.
+	// Its first completeBytes bytes are complete events.
+	pending       []byte
+	completeBytes int
+	// lastEvent is the ID of the last complete event that has one.
+	lastEvent string
+	events    int
+	endErr    error
+	// lastEventAt is when the last complete event was received.
+	lastEventAt time.Time
+	moves       int
+	// stallTimer is nil if the stream is not watched for stalls.
+	stallTimer clockwork.Timer
 }
 
-// open begins the session of a stream whose head has come.
-func (di *Dispatcher) open(ctx context.Context, cancel context.CancelFunc, ta *task, pl place, re result) *session {
+// openSession starts the session of a stream whose header has arrived.
+func (di *Dispatcher) openSession(ctx context.Context, cancel context.CancelFunc, ta *task, pl destination, re result) *session {
 	en := pl.endpoint
 	re.ticket.Started()
-	di.Log.Info().Str("event", "first_event").Str("request", ta.ID).Str("endpoint", en.ID).Dur("took", di.Clock.Since(ta.Arrived)).Msg("dispatch: first event came")
-	se := &session{di: di, ta: ta, ctx: ctx, cancel: cancel, place: pl, answer: re.answer, ticket: re.ticket}
+	di.Log.Info().Str("event", "first_event").Str("request", ta.ID).Str("endpoint", en.ID).Dur("took", di.Clock.Since(ta.Arrived)).Msg("dispatch: stream started")
+	se := &session{di: di, ta: ta, ctx: ctx, cancel: cancel, destination: pl, answer: re.answer, ticket: re.ticket}
 	if ta.service.Engine != nil && ta.service.Engine.Migrates && di.Runs != nil {
 		se.run = &migration.Run{
 			ID: ta.ID, Service: ta.service.Name, Engine: ta.service.Engine,
 			Prompt: ta.Prompt.Tokens, MaxOutput: ta.Prompt.MaxOutput, Output: pl.work.Output,
 		}
-		se.run.At(en)
-		se.run.Keep(pl.standby.id())
+		se.run.SetEndpoint(en)
+		se.run.SetStandby(pl.standby.id())
 		di.Runs.Add(se.run)
 		if now, known := di.Roster.View().Get(en.ID); !known || now.Leaving {
-			se.di.leaving(en)
+			se.di.requestMoves(en)
 		}
 	}
-	se.watch()
+	se.startStallTimer()
 	return se
 }
 
-const readBytes = 4 << 10
+const readBufferBytes = 4 << 10
 
-// Read implements io.Reader. It returns whole events; io.EOF comes only behind
-// the last one.
+// Read implements io.Reader. It returns only complete events. io.EOF follows
+// only the last event of a complete stream.
 func (se *session) Read(into []byte) (int, error) {
-	for se.whole == 0 {
-		if se.ended != nil {
-			return 0, se.ended
+	for se.completeBytes == 0 {
+		if se.endErr != nil {
+			return 0, se.endErr
 		}
-		se.fill()
+		se.readMore()
 	}
-	count := copy(into, se.pending[:se.whole])
+	count := copy(into, se.pending[:se.completeBytes])
 	se.pending = se.pending[count:]
-	se.whole -= count
+	se.completeBytes -= count
 	return count, nil
 }
 
-// fill reads more of the answer.
-func (se *session) fill() {
-	var buffer [readBytes]byte
+// readMore reads from the answer into pending. At the end of the answer it ends
+// the session or continues the run elsewhere.
+func (se *session) readMore() {
+	var buffer [readBufferBytes]byte
 	count, err := se.answer.Read(buffer[:])
 	se.pending = append(se.pending, buffer[:count]...)
-	se.progressed()
-	se.scan()
+	se.resetStallTimer()
+	se.scanEvents()
 	if err == nil {
 		return
 	}
-	if errors.Is(err, io.EOF) && se.complete() {
-		se.whole = len(se.pending)
+	if errors.Is(err, io.EOF) && se.endsComplete() {
+		se.completeBytes = len(se.pending)
 		se.di.Log.Info().Str("event", "delivered").Str("request", se.ta.ID).Str("endpoint", se.endpoint.ID).Int("events", se.events).
 			Int("moves", se.moves).Int("prompt", se.ta.Prompt.Tokens).Int("max_output", se.ta.Prompt.MaxOutput).Int("hint", se.ta.Prompt.Hint).
 			Dur("took", se.di.Clock.Since(se.ta.Arrived)).Msg("dispatch: stream delivered")
-		se.di.finished(se.ta)
+		se.di.clearSuspicion(se.ta)
 		if en := se.ta.service.Engine; en != nil {
-			se.di.outputs.learn(se.ta.route.Name, se.events*en.TokensPerEvent)
+			se.di.outputEstimator.observe(se.ta.route.Name, se.events*en.TokensPerEvent)
 		}
 		se.finish(placement.Done, io.EOF)
 		return
 	}
-	se.goOn(err)
+	se.continueStream(err)
 }
 
-// complete tells whether the end of the answer is the end of the stream. One
-// whose end is not marked must end behind an event.
-func (se *session) complete() bool {
+// endsComplete reports whether io.EOF of the answer is the end of the stream.
+// An answer that ends with its connection counts as complete only if it ends
+// after a complete event and the run was not asked to stop for a move.
+func (se *session) endsComplete() bool {
 	if se.answer.Framed {
 		return true
 	}
-	return len(se.pending) == se.whole && (se.run == nil || !se.run.Stopping())
+	return len(se.pending) == se.completeBytes && (se.run == nil || !se.run.Stopping())
 }
 
-var eventEnd = []byte("\n\n")
+var eventDelimiter = []byte("\n\n")
 
-// scan finds the events that are whole.
-func (se *session) scan() {
+// scanEvents counts the complete events in pending.
+func (se *session) scanEvents() {
 	for {
-		end := bytes.Index(se.pending[se.whole:], eventEnd)
+		end := bytes.Index(se.pending[se.completeBytes:], eventDelimiter)
 		if end < 0 {
 			break
 		}
-		event := se.pending[se.whole : se.whole+end]
-		se.whole += end + len(eventEnd)
-		if id := idOf(event); id != "" {
-			se.last = id
+		event := se.pending[se.completeBytes : se.completeBytes+end]
+		se.completeBytes += end + len(eventDelimiter)
+		if id := eventID(event); id != "" {
+			se.lastEvent = id
 		}
 		se.events++
-		se.pause()
+		se.logPause()
 	}
 	if se.run != nil {
-		se.run.Progress(se.events)
+		se.run.SetEvents(se.events)
 	}
 }
 
-// pause logs a pause before an event that makes the stream late.
-func (se *session) pause() {
+// logPause logs a pause between events that is longer than the route's MaxGap.
+func (se *session) logPause() {
 	now := se.di.Clock.Now()
 	bound := se.ta.route.MaxGap
-	if pause := now.Sub(se.lastAt); se.events > 1 && bound > 0 && pause > bound {
+	if gap := now.Sub(se.lastEventAt); se.events > 1 && bound > 0 && gap > bound {
 		se.di.Log.Info().Str("event", "stream_paused").Str("request", se.ta.ID).Str("endpoint", se.endpoint.ID).Int("events", se.events).
-			Int("moves", se.moves).Dur("pause", pause).Msg("dispatch: the caller saw a long pause")
+			Int("moves", se.moves).Dur("pause", gap).Msg("dispatch: pause between events exceeds the route's limit")
 	}
-	se.lastAt = now
+	se.lastEventAt = now
 }
 
-// idOf returns the id of an event.
-func idOf(event []byte) string {
+// eventID returns the ID of an event, or an empty string if it has none.
+func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if id, found := bytes.CutPrefix(line, []byte("id:")); found {
 			return string(bytes.TrimSpace(id))
@@ -200,34 +205,34 @@
 	return ""
 }
 
-// maxMoves bounds how often one stream goes on elsewhere.
+// maxMoves limits how often one stream is resumed.
 const maxMoves = 16
 
-// goOn goes on with a broken stream where its run was moved, or at its standby
-// copy, or ends it.
-func (se *session) goOn(cause error) {
-	se.unwatch()
+// continueStream resumes an interrupted stream where its run was moved to, or
+// from its standby copy. If neither is possible, it ends the stream.
+func (se *session) continueStream(cause error) {
+	se.stopStallTimer()
 	se.answer.Close()
-	se.pending = se.pending[:se.whole]
+	se.pending = se.pending[:se.completeBytes]
 	if se.ctx.Err() != nil || se.moves >= maxMoves {
-		se.broke(cause)
+		se.fail(cause)
 		return
 	}
-	mv, found := se.next()
+	mv, found := se.nextTarget()
 	if !found {
-		se.broke(cause)
+		se.fail(cause)
 		return
 	}
 	se.moves++
 	se.ticket.End(placement.Done)
 	if err := se.resume(mv); err != nil {
 		mv.Ticket.End(placement.Lost)
-		se.broke(errors.Join(err, cause))
+		se.fail(errors.Join(err, cause))
 	}
 }
 
-// next returns where a broken run goes on.
-func (se *session) next() (migration.Moved, bool) {
+// nextTarget returns where an interrupted run continues.
+func (se *session) nextTarget() (migration.Moved, bool) {
 	if se.run != nil {
 		if mv, moved := se.run.Await(se.ctx); moved {
 			return mv, true
@@ -235,22 +240,22 @@
 	}
 	mv, found := se.takeOver()
 	if found && se.run != nil {
-		se.run.At(mv.Target)
+		se.run.SetEndpoint(mv.Target)
 	}
 	return mv, found
 }
 
-// resume goes on with the run at the target of its move.
+// resume continues the run on the target of its move.
 func (se *session) resume(mv migration.Moved) error {
 	di := se.di
 	se.standby.release()
-	se.standby = di.keepCopy(se.ta, mv.Target, se.work)
+	se.standby = di.reserveStandby(se.ta, mv.Target, se.work)
 	if se.run != nil {
-		se.run.Keep(se.standby.id())
+		se.run.SetStandby(se.standby.id())
 	}
 	at := Attempt{
-		Endpoint: mv.Target, Left: se.ta.left(di.Clock.Now()), Team: se.ta.team, PassCredential: se.ta.open, Standby: se.standby.address(),
-		Resume: &Resume{Source: mv.From.Address, Handle: mv.Handle, LastEvent: se.last},
+		Endpoint: mv.Target, Left: se.ta.remaining(di.Clock.Now()), Team: se.ta.team, PassCredential: se.ta.passCredential, Standby: se.standby.address(),
+		Resume: &Resume{Source: mv.From.Address, Handle: mv.Handle, LastEvent: se.lastEvent},
 	}
 	di.Budget.Force(se.ta.service.Name)
 	an, err := di.Sender.Do(se.ctx, di.Codec.Call(se.ta.Request, at))
@@ -260,45 +265,48 @@
 	ve := di.Codec.Verdict(an)
 	if an.Status != http.StatusOK || !ve.Genuine {
 		an.Close()
-		return errBroken
+		return errStreamBroken
 	}
 	di.Log.Info().Str("event", "resumed").Str("request", se.ta.ID).Str("endpoint", se.endpoint.ID).
-		Str("target", mv.Target.ID).Str("last_event", se.last).Msg("dispatch: stream goes on")
-	di.Meter.attempt("resumed")
+		Str("target", mv.Target.ID).Str("last_event", se.lastEvent).Msg("dispatch: stream resumed")
+	di.Meter.countAttempt("resumed")
 	se.endpoint, se.answer, se.ticket = mv.Target, an, mv.Ticket
-	se.watch()
+	se.startStallTimer()
 	if now, known := di.Roster.View().Get(mv.Target.ID); !known || now.Leaving {
-		di.leaving(mv.Target)
+		di.requestMoves(mv.Target)
 	}
 	return nil
 }
 
-// leaving asks again for the moves of an engine that leaves.
-func (di *Dispatcher) leaving(en roster.Endpoint) {
+// requestMoves asks again for the runs of a leaving engine to be moved. This is
+// needed for a run that starts after the engine began to leave.
+func (di *Dispatcher) requestMoves(en roster.Endpoint) {
 	if di.Roster.OnLeave != nil {
 		di.Roster.OnLeave(en)
 	}
 }
 
-// broke ends the session of a stream that can't go on.
-func (se *session) broke(cause error) {
+// fail ends the session of an incomplete stream. Unless the caller disconnected
+// or the deadline passed, the engine is probed for a crash.
+func (se *session) fail(cause error) {
 	if se.ctx.Err() == nil {
 		se.di.Log.Info().Str("event", "stream_broken").Str("request", se.ta.ID).Str("endpoint", se.endpoint.ID).
-			Int("events", se.events).Str("last_event", se.last).Int("moves", se.moves).AnErr("cause", cause).Msg("dispatch: stream broken")
-		se.di.Meter.attempt("stream_broken")
-		se.di.blame(se.ta, se.endpoint)
-		se.finish(placement.Lost, errBroken)
+			Int("events", se.events).Str("last_event", se.lastEvent).Int("moves", se.moves).AnErr("cause", cause).Msg("dispatch: stream interrupted and not resumed")
+		se.di.Meter.countAttempt("stream_broken")
+		se.di.reportCrash(se.ta, se.endpoint)
+		se.finish(placement.Lost, errStreamBroken)
 		return
 	}
 	se.di.Log.Info().Str("event", "stream_given_up").Str("request", se.ta.ID).Str("endpoint", se.endpoint.ID).
-		Int("events", se.events).AnErr("cause", context.Cause(se.ctx)).Msg("dispatch: caller left or time is over")
-	se.finish(placement.Done, errBroken)
+		Int("events", se.events).AnErr("cause", context.Cause(se.ctx)).Msg("dispatch: caller disconnected or deadline passed; stream ended")
+	se.finish(placement.Done, errStreamBroken)
 }
 
-// finish ends the session's part at the endpoint.
+// finish ends the session and releases its resources. Read returns err once the
+// remaining complete events are delivered.
 func (se *session) finish(ou placement.Outcome, err error) {
-	se.ended = err
-	se.unwatch()
+	se.endErr = err
+	se.stopStallTimer()
 	se.answer.Close()
 	se.ticket.End(ou)
 	se.standby.release()
@@ -308,11 +316,12 @@
 	}
 }
 
-// Close implements io.Closer.
+// Close implements io.Closer. It cancels the request if the stream has not
+// ended.
 func (se *session) Close() error {
 	se.cancel()
-	if se.ended == nil {
-		se.broke(errBroken)
+	if se.endErr == nil {
+		se.fail(errStreamBroken)
 	}
 	return nil
 }
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -12,17 +12,17 @@
 	"filbertstall.example/filbertstall/internal/suspicion"
 )
 
-// Suspects knows which requests crash the endpoints that run them;
-// suspicion.Registry is one.
+// Suspects tracks which requests crash the endpoints that run them.
+// suspicion.Registry implements it.
 type Suspects interface {
 	Verdict(fingerprint uint64) suspicion.Verdict
 	Lost(ctx context.Context, fingerprint uint64, lo suspicion.Loss)
 	Finished(ctx context.Context, fingerprint uint64)
 }
 
-// print returns what is the same for all sendings of a request: a crashing one
-// comes again under another ID.
-func (ta *task) print() uint64 {
+// computeFingerprint returns a hash of the request without its ID, because
+// callers resubmit a crashing request under a new ID.
+func (ta *task) computeFingerprint() uint64 {
 	di := xxhash.New()
 	for _, part := range []string{ta.team, ta.Method, ta.Host, ta.Target} {
 		_, _ = di.WriteString(part)
@@ -32,12 +32,13 @@
 	return di.Sum64()
 }
 
-// suspected refuses a request that crashed the endpoints that ran it.
-func (di *Dispatcher) suspected(ta *task) *refusal.Error {
+// checkSuspect returns a refusal if endpoints that ran the same request have
+// crashed, and nil otherwise. It sets the task's fingerprint.
+func (di *Dispatcher) checkSuspect(ta *task) *refusal.Error {
 	if di.Suspects == nil {
 		return nil
 	}
-	ta.fingerprint = ta.print()
+	ta.fingerprint = ta.computeFingerprint()
 	if di.Suspects.Verdict(ta.fingerprint) != suspicion.Refuse {
 		return nil
 	}
@@ -45,16 +46,18 @@
 }
 
 const (
-	// crashTime is the pause before a lost endpoint is looked at: one that broke
-	// a connection for another reason still listens then.
-	crashTime = 40 * time.Millisecond
-	// lookTime bounds the look.
-	lookTime = 300 * time.Millisecond
+	// crashProbeDelay is the pause before an endpoint that lost a request is
+	// probed. An endpoint that has not crashed but lost the connection for
+	// another reason still accepts connections then.
+	crashProbeDelay = 40 * time.Millisecond
+	// probeTimeout limits one probe of an endpoint.
+	probeTimeout = 300 * time.Millisecond
 )
 
-// blame looks whether the endpoint that lost a request is down, and notes it
-// against the request if so. Endpoints that leave are expected to be down.
-func (di *Dispatcher) blame(ta *task, en roster.Endpoint) {
+// reportCrash probes an endpoint that lost a request and, if it is unreachable,
+// records a crash against the request. It does not probe endpoints that are
+// leaving or removed, since they are expected to shut down.
+func (di *Dispatcher) reportCrash(ta *task, en roster.Endpoint) {
 	if di.Suspects == nil || di.Reachable == nil {
 		return
 	}
@@ -62,19 +65,19 @@
 		return
 	}
 	go func() {
-		<-di.Clock.After(crashTime)
-		ctx, cancel := context.WithTimeout(context.Background(), lookTime)
+		<-di.Clock.After(crashProbeDelay)
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
 		if di.Reachable(ctx, en.Address) {
 			return
 		}
-		di.Log.Info().Str("event", "crash_suspected").Str("request", ta.ID).Str("endpoint", en.ID).Msg("dispatch: endpoint is down after it lost the request")
+		di.Log.Info().Str("event", "crash_suspected").Str("request", ta.ID).Str("endpoint", en.ID).Msg("dispatch: endpoint is unreachable after losing the request; recording a crash")
 		di.Suspects.Lost(context.Background(), ta.fingerprint, suspicion.Loss{Endpoint: en.ID, Boot: strconv.FormatInt(en.Started, 10)})
 	}()
 }
 
-// finished clears a request that was answered whole.
-func (di *Dispatcher) finished(ta *task) {
+// clearSuspicion tells the registry that a suspected request has completed.
+func (di *Dispatcher) clearSuspicion(ta *task) {
 	if di.Suspects != nil && di.Suspects.Verdict(ta.fingerprint) != suspicion.Clear {
 		go di.Suspects.Finished(context.Background(), ta.fingerprint)
 	}
--- a/internal/migration/doc.go
+++ b/internal/migration/doc.go
@@ -1,20 +1,23 @@
-// Package migration moves generations off engines that leave, so that their
-// streams go on elsewhere as the same run.
+// Package migration moves generations off leaving engines, so that their
+// streams continue on other engines as the same run.
 //
-// A move copies a run's memory to another engine while it goes on, copies what
-// is new since, stops the run, and goes on with it at the target. Copies of
-// one engine queue on its link, so runs are moved one after another, over all
-// instances: what is left to copy when a run is stopped is short, and so is the
-// pause that the caller sees. Runs with a standby copy elsewhere are not moved.
+// A move copies the KV cache of a run to another engine while the run
+// continues, then copies what has been added since, stops the run with a final
+// copy, and resumes it on the target. Copies from one engine are queued on its
+// network link. Runs are therefore moved one after another, across all
+// instances: little remains to be copied when a run is stopped, and the pause
+// that the caller sees is short. Runs with a usable standby copy on another
+// engine are not moved.
 //
-// Which runs move, in which order and when they are stopped is decided by plan
-// functions without network. Engines is the seam to a platform's engines.
+// Plan functions, which do no I/O, decide which runs are moved, in which order,
+// and when they are stopped. A platform implements Engines.
 //
 // # Usage
 //
-//	mo := &migration.Mover{Engines: engines, Roster: ro, Board: bo, Clock: clock, Log: log}
+//	mo := &migration.Mover{Engines: engines, Roster: ro, Board: bo, Clock: clock, Log: log, Turns: turns}
 //	ro.OnLeave = mo.Leaving
-//	ru := &migration.Run{ID: id, Endpoint: en, ...}
+//	ru := &migration.Run{ID: id, Service: service, ...}
+//	ru.SetEndpoint(en)
 //	mo.Add(ru)
 //	defer mo.Remove(ru)
 //	// when the stream breaks:
--- a/internal/migration/evacuation.go
+++ b/internal/migration/evacuation.go
@@ -8,33 +8,37 @@
 	"filbertstall.example/filbertstall/internal/roster"
 )
 
-// maxTries bounds the moves of one run off one engine.
-const maxTries = 24
+// maxMoveAttempts limits the attempts to move one run off one engine.
+const maxMoveAttempts = 24
 
-// noRunTries is what it counts when the engine does not know a run: it is over,
-// or its first token is still to come.
-const noRunTries = 6
+// noRunAttempts is the number of additional attempts that count if the engine
+// does not know the run. The run has ended, or its first token has not been
+// generated yet.
+const noRunAttempts = 6
 
-// longTurn is the wait for a turn that is logged.
-const longTurn = 100 * time.Millisecond
+// longTurnWait is the shortest wait for a turn that is logged.
+const longTurnWait = 100 * time.Millisecond
 
-// evacuation is the state of the moves off one engine.
+// evacuation is the state of moving all runs off one engine.
 type evacuation struct {
-	source roster.Endpoint
-	notice time.Time
-	tries  map[*Run]int
-	// full are the engines that could not take a copy.
+	source   roster.Endpoint
+	notice   time.Time
+	attempts map[*Run]int
+	// full holds the IDs of engines that must not be chosen as a target: the
+	// source and engines without room for a copy.
 	full map[string]bool
-	// announced tells that other instances had the time to hear of the moves.
+	// announced is set by the first wait in awaitTurn, which gives other
+	// instances time to receive the announcement.
 	announced bool
 }
 
-// untried returns how many runs of a list were not tried yet. Others are not
-// announced: a run that can't be moved must not hold up those that can.
+// untried returns the number of runs in list for which no move has been
+// attempted. Only these are announced to other instances, so that a run that
+// cannot be moved does not hold up runs that can.
 func (ev *evacuation) untried(list []candidate) int {
 	count := 0
 	for _, ca := range list {
-		if ev.tries[ca.run] == 0 {
+		if ev.attempts[ca.run] == 0 {
 			count++
 		}
 	}
@@ -42,21 +46,22 @@
 }
 
 // awaitTurn waits until instances that come first have moved their runs, or
-// have had the time for it: copies of one engine queue on its link, and a run
-// that is stopped behind the copies of others pauses for as long as they take.
+// have had enough time to do so. Copies from one engine are transferred one
+// after another, and a run that is stopped while copies of other runs are
+// queued pauses until these are transferred.
 func (mo *Mover) awaitTurn(ctx context.Context, ev *evacuation) {
 	if !ev.announced {
 		ev.announced = true
-		pause.For(ctx, mo.Clock, announceTime)
+		pause.For(ctx, mo.Clock, announceDelay)
 	}
 	begun := mo.Clock.Now()
 	ahead := mo.Turns.Ahead(ev.source.ID)
-	for ctx.Err() == nil && ahead > 0 && mo.Clock.Since(begun) < turnBound(ahead) && mo.Clock.Since(ev.notice) < lastTurn {
-		pause.For(ctx, mo.Clock, turnInterval)
+	for ctx.Err() == nil && ahead > 0 && mo.Clock.Since(begun) < maxTurnWait(ahead) && mo.Clock.Since(ev.notice) < turnWaitEnd {
+		pause.For(ctx, mo.Clock, turnPollInterval)
 		ahead = mo.Turns.Ahead(ev.source.ID)
 	}
-	if waited := mo.Clock.Since(begun); waited >= longTurn {
+	if waited := mo.Clock.Since(begun); waited >= longTurnWait {
 		mo.Log.Info().Str("event", "turn_waited").Str("endpoint", ev.source.ID).Int("ahead", ahead).Dur("took", waited).
-			Dur("since_notice", mo.Clock.Since(ev.notice)).Msg("migration: waited for the moves of other instances")
+			Dur("since_notice", mo.Clock.Since(ev.notice)).Msg("migration: waited for other instances to move their runs")
 	}
 }
--- a/internal/migration/mover.go
+++ b/internal/migration/mover.go
@@ -14,68 +14,72 @@
 	"filbertstall.example/filbertstall/internal/roster"
 )
 
-// Copied is what an engine says of a copy that is complete.
+// Copied describes a completed copy of a run.
 type Copied struct {
 	Handle string
-	// Events is how many events the run had made.
+	// Events is the number of events that the run had produced.
 	Events int
 }
 
-// Engines gives orders to engines.
+// Engines sends commands to engines. A platform implements it.
 type Engines interface {
-	// Copy copies the memory of a run to the engine at address target. A final
-	// copy stops the run first. An error with a handle means that the run was
-	// stopped and that its engine still holds the memory. The error is
-	// ErrNoRoom if the target can't take the copy, and ErrNoRun if the run is
-	// over or has not begun.
+	// Copy copies the KV cache of a run to the engine at address target. A
+	// final copy stops the run first. An error together with a handle means
+	// that the run was stopped and that its engine still holds the memory. The
+	// error is ErrNoRoom if the target cannot take the copy, and ErrNoRun if
+	// the run has ended or has not started.
 	Copy(ctx context.Context, source roster.Endpoint, run, target string, final bool) (Copied, error)
-	// Free drops a copy that nobody will use.
+	// Free drops a copy that will not be used.
 	Free(ctx context.Context, source roster.Endpoint, handle string) error
 }
 
-// Turns orders the moves of several instances off one engine.
+// Turns coordinates the instances that move runs off the same engine, so that
+// they take turns. loadshare.Turns implements it.
 type Turns interface {
-	// Announce tells the others how many runs of this instance are to be moved
-	// off an engine.
+	// Announce tells other instances how many runs of this instance are still
+	// to be moved off an engine.
 	Announce(endpoint string, runs int)
-	// Ahead returns how many runs of instances that come first are.
+	// Ahead returns the number of runs still to be moved off an engine by
+	// instances that come before this one.
 	Ahead(endpoint string) int
 }
 
-// The errors of Engines that a plan answers.
+// Errors of Engines.Copy that the Mover handles.
 var (
-	ErrNoRoom = errors.New("migration: the target can't take the copy")
+	ErrNoRoom = errors.New("migration: the target cannot take the copy")
 	ErrNoRun  = errors.New("migration: the engine has no such run")
 )
 
 const (
-	// leaveTime is how long an engine that leaves is looked after.
-	leaveTime = 4 * time.Second
-	// lookInterval is the pause between two looks for runs that started since.
-	lookInterval = 40 * time.Millisecond
-	copyTimeout  = 2 * time.Second
-	// announceTime is how long the word of moves is under way to others.
-	announceTime = 15 * time.Millisecond
-	turnInterval = 10 * time.Millisecond
+	// evacuationTimeout is how long runs are moved off a leaving engine.
+	evacuationTimeout = 4 * time.Second
+	// rescanInterval is the pause between two searches for runs that have
+	// started since.
+	rescanInterval = 40 * time.Millisecond
+	copyTimeout    = 2 * time.Second
+	// announceDelay is the time that an announcement takes to reach other
+	// instances.
+	announceDelay    = 15 * time.Millisecond
+	turnPollInterval = 10 * time.Millisecond
 )
 
-// Mover moves runs. Set the exported fields before use. It is safe for
-// concurrent use.
+// Mover moves runs off leaving engines. Set the exported fields before use. It
+// is safe for concurrent use.
 type Mover struct {
 	Engines Engines
 	Roster  *roster.Roster
 	Board   *placement.Board
 	Clock   clockwork.Clock
 	Log     zerolog.Logger
-	// Turns orders the moves of several instances off one engine.
+	// Turns must not be nil.
 	Turns Turns
 
-	mu   sync.Mutex
-	runs map[*Run]struct{}
-	busy map[string]bool
+	mu         sync.Mutex
+	runs       map[*Run]struct{}
+	evacuating map[string]bool
 }
 
-// Add takes in a run.
+// Add registers a run, so that it is moved when its engine leaves.
 func (mo *Mover) Add(ru *Run) {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
@@ -85,7 +89,8 @@
 	mo.runs[ru] = struct{}{}
 }
 
-// Remove lets go of a run that is over.
+// Remove removes a run that has ended. If its stream has not taken up a
+// completed move, Remove frees the copy.
 func (mo *Mover) Remove(ru *Run) {
 	mo.mu.Lock()
 	delete(mo.runs, ru)
@@ -95,80 +100,84 @@
 	}
 }
 
-// release frees a copy that nobody will use.
+// release ends the ticket of a move that will not be used and frees its copy.
 func (mo *Mover) release(ru *Run, mv Moved) {
 	if mv.Ticket != nil {
 		mv.Ticket.End(placement.Done)
 	}
-	go mo.free(ru, mv.From, mv.Handle)
+	go mo.freeCopy(ru, mv.From, mv.Handle)
 }
 
-func (mo *Mover) free(ru *Run, source roster.Endpoint, handle string) {
+func (mo *Mover) freeCopy(ru *Run, source roster.Endpoint, handle string) {
 	if handle == "" {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), copyTimeout)
 	defer cancel()
 	if err := mo.Engines.Free(ctx, source, handle); err != nil {
-		mo.Log.Info().Str("event", "copy_not_freed").Str("request", ru.ID).Str("endpoint", source.ID).Err(err).Msg("migration: copy not freed")
+		mo.Log.Info().Str("event", "copy_not_freed").Str("request", ru.ID).Str("endpoint", source.ID).Err(err).Msg("migration: failed to free an unused copy")
 	}
 }
 
-// Leaving moves the runs of an engine that leaves. It returns at once.
+// Leaving starts moving the runs of a leaving engine and returns at once. It
+// has no effect while runs of this engine are already being moved.
 func (mo *Mover) Leaving(en roster.Endpoint) {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
-	if mo.busy[en.ID] {
+	if mo.evacuating[en.ID] {
 		return
 	}
-	if mo.busy == nil {
-		mo.busy = make(map[string]bool)
+	if mo.evacuating == nil {
+		mo.evacuating = make(map[string]bool)
 	}
-	mo.busy[en.ID] = true
-	go mo.empty(en)
+	mo.evacuating[en.ID] = true
+	go mo.moveRuns(en)
 }
 
-// empty moves the runs of one engine until none is left or its time is over.
-func (mo *Mover) empty(en roster.Endpoint) {
+// moveRuns moves the runs of one engine until none is left or evacuationTimeout
+// has passed.
+func (mo *Mover) moveRuns(en roster.Endpoint) {
 	defer func() {
 		mo.mu.Lock()
-		delete(mo.busy, en.ID)
+		delete(mo.evacuating, en.ID)
 		mo.mu.Unlock()
 	}()
 	notice := mo.Clock.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
+	ctx, cancel := context.WithTimeout(context.Background(), evacuationTimeout)
 	defer cancel()
-	ev := &evacuation{source: en, notice: notice, tries: make(map[*Run]int), full: map[string]bool{en.ID: true}}
+	ev := &evacuation{source: en, notice: notice, attempts: make(map[*Run]int), full: map[string]bool{en.ID: true}}
 	defer mo.Turns.Announce(en.ID, 0)
 	for ctx.Err() == nil {
-		list := movable(mo.at(ev), mo.Clock.Since(notice))
+		list := movable(mo.candidates(ev), mo.Clock.Since(notice))
 		mo.Turns.Announce(en.ID, ev.untried(list))
 		if len(list) > 0 && mo.moveAll(ctx, ev, list) {
 			continue
 		}
-		if mo.count(en) == 0 {
+		if mo.countRuns(en) == 0 {
 			return
 		}
-		pause.For(ctx, mo.Clock, lookInterval)
+		pause.For(ctx, mo.Clock, rescanInterval)
 	}
 }
 
-// at returns the runs at an engine that were not tried too often.
-func (mo *Mover) at(ev *evacuation) []candidate {
+// candidates returns the runs at the engine of an evacuation, except those that
+// have used up their attempts.
+func (mo *Mover) candidates(ev *evacuation) []candidate {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
 	var list []candidate
 	for ru := range mo.runs {
-		if ru.Endpoint().ID == ev.source.ID && ev.tries[ru] < maxTries {
-			ca := ru.state()
-			_, ca.safe = mo.Roster.View().Usable(ca.standby)
+		if ru.Endpoint().ID == ev.source.ID && ev.attempts[ru] < maxMoveAttempts {
+			ca := ru.snapshot()
+			_, ca.standbyUsable = mo.Roster.View().Usable(ca.standby)
 			list = append(list, ca)
 		}
 	}
 	return list
 }
 
-// Endpoints returns the engines at which runs are, as the roster knows them.
+// Endpoints returns the engines on which registered runs are, as known to the
+// roster.
 func (mo *Mover) Endpoints() []roster.Endpoint {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
@@ -185,7 +194,7 @@
 	return list
 }
 
-func (mo *Mover) count(en roster.Endpoint) int {
+func (mo *Mover) countRuns(en roster.Endpoint) int {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
 	count := 0
--- a/internal/migration/mover_test.go
+++ b/internal/migration/mover_test.go
@@ -18,10 +18,10 @@
 	"filbertstall.example/filbertstall/internal/routing"
 )
 
-// fakeEngines answers copies by a script and writes down what was asked.
+// fakeEngines answers copies with a given function and records all calls.
 type fakeEngines struct {
 	mu     sync.Mutex
-	asked  []string
+	copied []string
 	freed  []string
 	answer func(run, target string, final bool) (Copied, error)
 }
@@ -29,7 +29,7 @@
 func (fe *fakeEngines) Copy(_ context.Context, _ roster.Endpoint, run, target string, final bool) (Copied, error) {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
-	fe.asked = append(fe.asked, fmt.Sprintf("%s to %s final=%v", run, target, final))
+	fe.copied = append(fe.copied, fmt.Sprintf("%s to %s final=%v", run, target, final))
 	return fe.answer(run, target, final)
 }
 
@@ -43,7 +43,7 @@
 func (fe *fakeEngines) calls() []string {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
-	return append([]string(nil), fe.asked...)
+	return append([]string(nil), fe.copied...)
 }
 
 func (fe *fakeEngines) freedHandles() []string {
@@ -52,23 +52,23 @@
 	return append([]string(nil), fe.freed...)
 }
 
-func takes(_, target string, _ bool) (Copied, error) {
+func copySucceeds(_, target string, _ bool) (Copied, error) {
 	return Copied{Handle: "h-" + target, Events: 1}, nil
 }
 
-// alone is the order of an instance without others.
-type alone struct{}
+// noOtherInstances is the Turns of a single instance.
+type noOtherInstances struct{}
 
-func (alone) Announce(string, int) {}
+func (noOtherInstances) Announce(string, int) {}
 
-func (alone) Ahead(string) int { return 0 }
+func (noOtherInstances) Ahead(string) int { return 0 }
 
-type world struct {
+type harness struct {
 	*Mover
 	engines *fakeEngines
 }
 
-func newWorld(answer func(run, target string, final bool) (Copied, error)) *world {
+func newHarness(answer func(run, target string, final bool) (Copied, error)) *harness {
 	clock := clockwork.NewRealClock()
 	ro := &roster.Roster{Clock: clock, Log: zerolog.Nop()}
 	var list []feed.Object[roster.Endpoint]
@@ -77,23 +77,23 @@
 	}
 	ro.Reset(list)
 	fe := &fakeEngines{answer: answer}
-	return &world{engines: fe, Mover: &Mover{
-		Engines: fe, Roster: ro, Board: &placement.Board{Clock: clock, Zone: "a"}, Clock: clock, Log: zerolog.Nop(), Turns: alone{},
+	return &harness{engines: fe, Mover: &Mover{
+		Engines: fe, Roster: ro, Board: &placement.Board{Clock: clock, Zone: "a"}, Clock: clock, Log: zerolog.Nop(), Turns: noOtherInstances{},
 	}}
 }
 
 var testEngine = &routing.Engine{Slots: 24, MemoryTokens: 30_000, TokensPerEvent: 4, Migrates: true}
 
-func (wo *world) run(id string) *Run {
+func (ha *harness) addRun(id string) *Run {
 	ru := &Run{ID: id, Service: "s", Engine: testEngine, Prompt: 3000, MaxOutput: 2000}
-	ru.At(wo.endpoint("e1"))
-	ru.Progress(3)
-	wo.Add(ru)
+	ru.SetEndpoint(ha.endpoint("e1"))
+	ru.SetEvents(3)
+	ha.Add(ru)
 	return ru
 }
 
-func (wo *world) endpoint(id string) roster.Endpoint {
-	en, _ := wo.Roster.View().Get(id)
+func (ha *harness) endpoint(id string) roster.Endpoint {
+	en, _ := ha.Roster.View().Get(id)
 	return en
 }
 
@@ -108,10 +108,10 @@
 
 func TestRunIsCopiedThenStoppedThenMoved(t *testing.T) {
 	g := NewWithT(t)
-	wo := newWorld(takes)
-	ru := wo.run("r1")
-	wo.Roster.Leave("e1")
-	wo.Leaving(wo.endpoint("e1"))
+	ha := newHarness(copySucceeds)
+	ru := ha.addRun("r1")
+	ha.Roster.Leave("e1")
+	ha.Leaving(ha.endpoint("e1"))
 	mv, moved := await(ru)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(mv.From.ID).To(Equal("e1"))
@@ -119,21 +119,21 @@
 	g.Expect(mv.Handle).To(Equal("h-" + mv.Target.ID))
 	g.Expect(ru.Endpoint().ID).To(Equal(mv.Target.ID))
 	to := "r1 to " + mv.Target.ID
-	g.Expect(wo.engines.calls()).To(Equal([]string{to + " final=false", to + " final=false", to + " final=true"}))
+	g.Expect(ha.engines.calls()).To(Equal([]string{to + " final=false", to + " final=false", to + " final=true"}))
 }
 
-// Each run is stopped before the next one's long copy begins.
+// Each run is stopped before the first copy of the next run begins.
 func TestRunsMoveOneAfterAnother(t *testing.T) {
 	g := NewWithT(t)
-	wo := newWorld(takes)
-	runs := []*Run{wo.run("r1"), wo.run("r2"), wo.run("r3")}
-	wo.Roster.Leave("e1")
-	wo.Leaving(wo.endpoint("e1"))
+	ha := newHarness(copySucceeds)
+	runs := []*Run{ha.addRun("r1"), ha.addRun("r2"), ha.addRun("r3")}
+	ha.Roster.Leave("e1")
+	ha.Leaving(ha.endpoint("e1"))
 	for _, ru := range runs {
 		_, moved := await(ru)
 		g.Expect(moved).To(BeTrue())
 	}
-	calls := wo.engines.calls()
+	calls := ha.engines.calls()
 	g.Expect(calls).To(HaveLen(9))
 	for ix := 0; ix < 9; ix += 3 {
 		g.Expect(calls[ix][:2]).To(Equal(calls[ix+2][:2]))
@@ -141,43 +141,43 @@
 	}
 }
 
-// Pattern: engines leave while the others are half full. A target in the zone
-// is taken although it could not hold the longest answer that may come.
+// Scenario: an engine leaves while the others are half full. A target in the
+// same zone is chosen even if it could not hold the longest possible answer.
 func TestTargetsArePlannedWithTheExpectedAnswer(t *testing.T) {
 	g := NewWithT(t)
-	wo := newWorld(takes)
+	ha := newHarness(copySucceeds)
 	far := roster.Endpoint{ID: "far", Address: "far", Service: "s", Zone: "b"}
-	wo.Roster.Apply([]feed.Change[roster.Endpoint]{{Object: feed.Object[roster.Endpoint]{Name: "far", Value: &far}}})
+	ha.Roster.Apply([]feed.Change[roster.Endpoint]{{Object: feed.Object[roster.Endpoint]{Name: "far", Value: &far}}})
 	for _, id := range []string{"e2", "e3"} {
 		for range 6 {
-			wo.Board.Begin(wo.endpoint(id), placement.Work{Engine: testEngine, Prompt: 3500, Output: 400}).Started()
+			ha.Board.Begin(ha.endpoint(id), placement.Work{Engine: testEngine, Prompt: 3500, Output: 400}).Started()
 		}
 	}
-	ru := wo.run("r1")
+	ru := ha.addRun("r1")
 	ru.Output = 400
-	wo.Roster.Leave("e1")
-	wo.Leaving(wo.endpoint("e1"))
+	ha.Roster.Leave("e1")
+	ha.Leaving(ha.endpoint("e1"))
 	mv, moved := await(ru)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(mv.Target.Zone).To(Equal("a"))
 }
 
-// Pattern: more runs at an engine that leaves than can be copied in time. Those
-// with a standby copy go on from it when the engine is gone, unless the engine
-// of the copy leaves, too.
+// Scenario: a leaving engine has more runs than can be copied in time. Runs
+// with a standby copy are not moved, because they continue from it when the
+// engine is gone. A run whose standby engine is also leaving is moved.
 func TestRunsWithAStandbyStay(t *testing.T) {
 	g := NewWithT(t)
-	wo := newWorld(takes)
-	safe, lost := wo.run("safe"), wo.run("lost")
-	safe.Keep("e2")
-	lost.Keep("e3")
-	wo.Roster.Leave("e3")
-	wo.Roster.Leave("e1")
-	wo.Leaving(wo.endpoint("e1"))
+	ha := newHarness(copySucceeds)
+	safe, lost := ha.addRun("safe"), ha.addRun("lost")
+	safe.SetStandby("e2")
+	lost.SetStandby("e3")
+	ha.Roster.Leave("e3")
+	ha.Roster.Leave("e1")
+	ha.Leaving(ha.endpoint("e1"))
 	mv, moved := await(lost)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(mv.Target.ID).To(Equal("e2"))
-	for _, call := range wo.engines.calls() {
+	for _, call := range ha.engines.calls() {
 		g.Expect(call).To(HavePrefix("lost"))
 	}
 }
@@ -185,35 +185,35 @@
 func TestTargetWithoutRoomIsLeftOut(t *testing.T) {
 	g := NewWithT(t)
 	full := ""
-	wo := newWorld(nil)
-	wo.engines.answer = func(run, target string, final bool) (Copied, error) {
+	ha := newHarness(nil)
+	ha.engines.answer = func(run, target string, final bool) (Copied, error) {
 		if full == "" {
 			full = target
 		}
 		if target == full {
 			return Copied{}, ErrNoRoom
 		}
-		return takes(run, target, final)
+		return copySucceeds(run, target, final)
 	}
-	first, second := wo.run("r1"), wo.run("r2")
-	wo.Roster.Leave("e1")
-	wo.Leaving(wo.endpoint("e1"))
+	first, second := ha.addRun("r1"), ha.addRun("r2")
+	ha.Roster.Leave("e1")
+	ha.Leaving(ha.endpoint("e1"))
 	for _, ru := range []*Run{first, second} {
 		mv, moved := await(ru)
 		g.Expect(moved).To(BeTrue())
 		g.Expect(mv.Target.ID).NotTo(Equal(full))
 	}
 	asked := 0
-	for _, call := range wo.engines.calls() {
+	for _, call := range ha.engines.calls() {
 		if call[6:8] == full {
 			asked++
 		}
 	}
-	g.Expect(asked).To(Equal(1), "no other run asks the full engine")
+	g.Expect(asked).To(Equal(1), "no copy of another run is sent to the full engine")
 }
 
-// A last copy that fails leaves the run where it is, unless it was stopped:
-// then its own engine goes on with what it holds.
+// If a final copy fails, the run continues at its engine. If it was already
+// stopped, its engine resumes it from the memory that it still holds.
 func TestLastCopyFails(t *testing.T) {
 	for _, ca := range []struct {
 		name  string
@@ -225,20 +225,20 @@
 	} {
 		t.Run(ca.name, func(t *testing.T) {
 			g := NewWithT(t)
-			wo := newWorld(func(run, target string, final bool) (Copied, error) {
+			ha := newHarness(func(run, target string, final bool) (Copied, error) {
 				if final {
 					return ca.co, ErrNoRoom
 				}
-				return takes(run, target, final)
+				return copySucceeds(run, target, final)
 			})
-			ru := wo.run("r1")
-			ev := &evacuation{source: wo.endpoint("e1"), notice: wo.Clock.Now(), tries: map[*Run]int{}, full: map[string]bool{"e1": true}}
-			g.Expect(wo.moveAll(context.Background(), ev, []candidate{ru.state()})).To(BeTrue())
+			ru := ha.addRun("r1")
+			ev := &evacuation{source: ha.endpoint("e1"), notice: ha.Clock.Now(), attempts: map[*Run]int{}, full: map[string]bool{"e1": true}}
+			g.Expect(ha.moveAll(context.Background(), ev, []candidate{ru.snapshot()})).To(BeTrue())
 			mv, moved := ru.Await(context.Background())
 			g.Expect(moved).To(Equal(ca.moved))
 			if !moved {
-				g.Eventually(wo.engines.freedHandles, "5s").Should(HaveLen(1), "the copy at the target is freed")
-				g.Expect(wo.engines.freedHandles()[0]).To(HavePrefix("h-e"))
+				g.Eventually(ha.engines.freedHandles, "5s").Should(HaveLen(1), "the copy at the target is freed")
+				g.Expect(ha.engines.freedHandles()[0]).To(HavePrefix("h-e"))
 			}
 			if moved {
 				g.Expect(mv.Target.ID).To(Equal("e1"))
@@ -250,83 +250,83 @@
 
 func TestUnusedCopiesAreFreed(t *testing.T) {
 	g := NewWithT(t)
-	wo := newWorld(nil)
+	ha := newHarness(nil)
 	var ru *Run
-	wo.engines.answer = func(run, target string, final bool) (Copied, error) {
+	ha.engines.answer = func(run, target string, final bool) (Copied, error) {
 		if final {
 			return Copied{}, errors.New("never asked")
 		}
 		ru.end()
-		return takes(run, target, final)
+		return copySucceeds(run, target, final)
 	}
-	ru = wo.run("r1")
-	wo.Roster.Leave("e1")
-	wo.Leaving(wo.endpoint("e1"))
-	g.Eventually(wo.engines.freedHandles, "5s").Should(HaveLen(1))
-	for _, call := range wo.engines.calls() {
+	ru = ha.addRun("r1")
+	ha.Roster.Leave("e1")
+	ha.Leaving(ha.endpoint("e1"))
+	g.Eventually(ha.engines.freedHandles, "5s").Should(HaveLen(1))
+	for _, call := range ha.engines.calls() {
 		g.Expect(call).To(HaveSuffix("final=false"))
 	}
-	g.Expect(wo.Board.Loads()).To(BeEmpty())
+	g.Expect(ha.Board.Loads()).To(BeEmpty())
 }
 
-// A run that was moved when its caller had left frees the copy.
+// If a run is moved after its caller has disconnected, its copy is freed.
 func TestMovedRunWithoutCaller(t *testing.T) {
 	g := NewWithT(t)
-	wo := newWorld(takes)
-	ru := wo.run("r1")
-	ru.Complete(Moved{From: wo.endpoint("e1"), Handle: "h1", Target: wo.endpoint("e2")})
-	wo.Remove(ru)
-	g.Eventually(wo.engines.freedHandles, "5s").Should(Equal([]string{"h1"}))
+	ha := newHarness(copySucceeds)
+	ru := ha.addRun("r1")
+	ru.Complete(Moved{From: ha.endpoint("e1"), Handle: "h1", Target: ha.endpoint("e2")})
+	ha.Remove(ru)
+	g.Eventually(ha.engines.freedHandles, "5s").Should(Equal([]string{"h1"}))
 	_, moved := ru.Await(context.Background())
 	g.Expect(moved).To(BeFalse())
 }
 
-// turns says for a while that others come first.
-type turns struct {
-	mu   sync.Mutex
-	left int
-	told []int
+// fakeTurns reports a decreasing number of runs of other instances.
+type fakeTurns struct {
+	mu        sync.Mutex
+	ahead     int
+	announced []int
 }
 
-func (tu *turns) Announce(_ string, runs int) {
+func (tu *fakeTurns) Announce(_ string, runs int) {
 	tu.mu.Lock()
 	defer tu.mu.Unlock()
-	tu.told = append(tu.told, runs)
+	tu.announced = append(tu.announced, runs)
 }
 
-func (tu *turns) Ahead(string) int {
+func (tu *fakeTurns) Ahead(string) int {
 	tu.mu.Lock()
 	defer tu.mu.Unlock()
-	tu.left = max(tu.left-1, 0)
-	return tu.left
+	tu.ahead = max(tu.ahead-1, 0)
+	return tu.ahead
 }
 
-func (tu *turns) lastTold() []int {
+func (tu *fakeTurns) announcements() []int {
 	tu.mu.Lock()
 	defer tu.mu.Unlock()
-	return append([]int(nil), tu.told...)
+	return append([]int(nil), tu.announced...)
 }
 
 func TestOthersComeFirst(t *testing.T) {
 	g := NewWithT(t)
-	wo := newWorld(takes)
-	tu := &turns{left: 4}
-	wo.Turns = tu
-	ru := wo.run("r1")
-	begun := wo.Clock.Now()
-	wo.Roster.Leave("e1")
-	wo.Leaving(wo.endpoint("e1"))
+	ha := newHarness(copySucceeds)
+	tu := &fakeTurns{ahead: 4}
+	ha.Turns = tu
+	ru := ha.addRun("r1")
+	begun := ha.Clock.Now()
+	ha.Roster.Leave("e1")
+	ha.Leaving(ha.endpoint("e1"))
 	_, moved := await(ru)
 	g.Expect(moved).To(BeTrue())
-	g.Expect(wo.Clock.Since(begun)).To(BeNumerically(">=", announceTime+3*turnInterval))
-	wo.Remove(ru)
-	g.Eventually(func() bool { return len(tu.lastTold()) > 1 }, "5s").Should(BeTrue())
-	g.Expect(tu.lastTold()[0]).To(Equal(1), "the run is announced")
-	g.Expect(tu.lastTold()[1:]).To(HaveEach(0), "and not any more once it has moved")
+	g.Expect(ha.Clock.Since(begun)).To(BeNumerically(">=", announceDelay+3*turnPollInterval))
+	ha.Remove(ru)
+	g.Eventually(func() bool { return len(tu.announcements()) > 1 }, "5s").Should(BeTrue())
+	g.Expect(tu.announcements()[0]).To(Equal(1), "the run is announced")
+	g.Expect(tu.announcements()[1:]).To(HaveEach(0), "the run is no longer announced after its move")
 }
 
 func TestTurnsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(turnBound(0)).To(BeZero())
-	g.Expect(turnBound(3)).To(Equal(3 * turnTime))
+	g.Expect(maxTurnWait(0)).To(BeZero())
+	g.Expect(maxTurnWait(3)).To(Equal(3 * maxMoveTime))
 }
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -6,17 +6,19 @@
 	"time"
 )
 
-// candidate is a run as a plan sees it.
+// candidate is a snapshot of a run for the plan functions.
 type candidate struct {
 	run      *Run
 	started  bool
 	ended    bool
 	stopping bool
-	// standby is the engine that keeps a copy of the run, or empty.
+	// standby is the ID of the engine that keeps a standby copy of the run. It
+	// is empty if there is none.
 	standby string
-	// safe tells that this engine can take the run over.
-	safe bool
-	// tokens are in the engine's memory; remaining is how many may come at most.
+	// standbyUsable is set if that engine can take over the run.
+	standbyUsable bool
+	// tokens is the number of tokens in the engine's memory. remaining is the
+	// maximum number of tokens that may follow.
 	tokens    int
 	remaining int
 }
@@ -25,35 +27,38 @@
 	// tokenTime is the least time that an engine takes for a token, so that no
 	// run counts as ending in time that would not.
 	tokenTime = 10 * time.Millisecond
-	// noticeTime is how long an engine is expected to go on after it said that
-	// it leaves.
-	noticeTime = 1500 * time.Millisecond
-	// lastStop is the time after the notice at which runs are stopped however
-	// long their last copy may queue.
-	lastStop = 1250 * time.Millisecond
-	// quietLink is the time of a short copy under which no other copy is in
-	// front of it on the link.
-	quietLink = 50 * time.Millisecond
+	// noticePeriod is how long an engine is expected to continue after it has
+	// announced that it leaves.
+	noticePeriod = 1500 * time.Millisecond
+	// forcedStopTime is the time after the notice from which runs are stopped
+	// regardless of how long their final copy may be queued.
+	forcedStopTime = 1250 * time.Millisecond
+	// idleLinkCopyTime is the longest duration of a short copy that shows that
+	// no other copy is queued ahead of it on the link.
+	idleLinkCopyTime = 50 * time.Millisecond
 )
 
-// lastTurn is the time after the notice from which nobody waits for a turn.
-const lastTurn = 1300 * time.Millisecond
+// turnWaitEnd is the time after the notice from which no instance waits for its
+// turn.
+const turnWaitEnd = 1300 * time.Millisecond
 
-// turnTime is how long the move of one run takes at most, if none is in front
-// of it: the copy of a long prompt into another zone.
-const turnTime = 450 * time.Millisecond
+// maxMoveTime is the longest time that the move of one run takes if no other
+// copy is queued ahead of it. The longest move is the copy of a long prompt
+// into another zone.
+const maxMoveTime = 450 * time.Millisecond
 
-// turnBound bounds the wait for runs of other instances.
-func turnBound(runs int) time.Duration { return time.Duration(runs) * turnTime }
+// maxTurnWait limits the wait for a number of runs of other instances.
+func maxTurnWait(runs int) time.Duration { return time.Duration(runs) * maxMoveTime }
 
-// movable returns the runs that are worth a move, those with the least to copy
-// first: they are safe soonest, and a copy that is cut off by the engine's end
-// saves nobody. A run whose standby copy can take over needs no move; copies of
-// it would only delay the others.
+// movable returns the runs to move, ordered by the amount of data to copy. The
+// runs with the least data come first, since they are safe soonest, and a copy
+// that is interrupted by the end of the engine is useless. Runs whose standby
+// copy can take over are left out, because copying them would only delay the
+// others.
 func movable(list []candidate, sinceNotice time.Duration) []candidate {
 	kept := list[:0]
 	for _, ca := range list {
-		if ca.started && !ca.ended && !ca.stopping && !ca.safe && !endsInTime(ca, noticeTime-sinceNotice) {
+		if ca.started && !ca.ended && !ca.stopping && !ca.standbyUsable && !endsInTime(ca, noticePeriod-sinceNotice) {
 			kept = append(kept, ca)
 		}
 	}
@@ -61,13 +66,14 @@
 	return kept
 }
 
-// endsInTime tells whether a run ends by itself before the engine does, even if
-// its answer is as long as it may be.
+// endsInTime reports whether a run ends before its engine does, even if its
+// answer has the maximum length.
 func endsInTime(ca candidate, left time.Duration) bool {
 	return time.Duration(ca.remaining)*tokenTime < left
 }
 
-// stopNow tells whether a run is stopped after a short copy that took a time.
-func stopNow(copyTook, sinceNotice time.Duration) bool {
-	return copyTook <= quietLink || sinceNotice >= lastStop
+// shouldStop reports whether to stop a run after a short copy that took
+// copyTook.
+func shouldStop(copyTook, sinceNotice time.Duration) bool {
+	return copyTook <= idleLinkCopyTime || sinceNotice >= forcedStopTime
 }
--- a/internal/migration/plan_test.go
+++ b/internal/migration/plan_test.go
@@ -7,11 +7,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// Pattern: engines are reclaimed at short notice.
+// Scenario: engines are reclaimed at short notice.
 func TestWhichRunsMove(t *testing.T) {
 	for _, ca := range []struct {
 		name  string
-		ca    candidate
+		run   candidate
 		since time.Duration
 		moves bool
 	}{
@@ -19,12 +19,12 @@
 		{"one that ends by itself in time", candidate{started: true, tokens: 3000, remaining: 40}, 0, false},
 		{"one that would end too late", candidate{started: true, tokens: 3000, remaining: 40}, 1200 * time.Millisecond, true},
 		{"one without a first token", candidate{remaining: 2000}, 0, false},
-		{"one that is over", candidate{started: true, ended: true, remaining: 2000}, 0, false},
-		{"one with a standby copy that can take over", candidate{started: true, safe: true, tokens: 3000, remaining: 2000}, 0, false},
+		{"one that has ended", candidate{started: true, ended: true, remaining: 2000}, 0, false},
+		{"one with a standby copy that can take over", candidate{started: true, standbyUsable: true, tokens: 3000, remaining: 2000}, 0, false},
 		{"one that is being stopped", candidate{started: true, stopping: true, remaining: 2000}, 0, false},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
-			NewWithT(t).Expect(len(movable([]candidate{ca.ca}, ca.since)) == 1).To(Equal(ca.moves))
+			NewWithT(t).Expect(len(movable([]candidate{ca.run}, ca.since)) == 1).To(Equal(ca.moves))
 		})
 	}
 }
@@ -39,7 +39,7 @@
 
 func TestWhenARunIsStopped(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(stopNow(5*time.Millisecond, 0)).To(BeTrue(), "the link is quiet")
-	g.Expect(stopNow(200*time.Millisecond, 0)).To(BeFalse(), "the last copy would queue as long")
-	g.Expect(stopNow(200*time.Millisecond, lastStop)).To(BeTrue(), "the engine is about to go")
+	g.Expect(shouldStop(5*time.Millisecond, 0)).To(BeTrue(), "the link is idle")
+	g.Expect(shouldStop(200*time.Millisecond, 0)).To(BeFalse(), "the final copy would be queued for as long")
+	g.Expect(shouldStop(200*time.Millisecond, forcedStopTime)).To(BeTrue(), "the engine is about to shut down")
 }
--- a/internal/migration/run.go
+++ b/internal/migration/run.go
@@ -9,77 +9,86 @@
 	"filbertstall.example/filbertstall/internal/routing"
 )
 
-// Moved says where a run goes on.
+// Moved describes where a run continues after a move or from its standby copy.
 type Moved struct {
-	// From is the engine that made the copy.
+	// From is the engine that made the copy. For a standby copy, it is the
+	// engine that keeps it.
 	From   roster.Endpoint
 	Handle string
 	Target roster.Endpoint
-	// Ticket is the run's entry in the target's account.
+	// Ticket is the run's entry in the load account of the target.
 	Ticket *placement.Ticket
 }
 
-// Run is one stream at an engine. Set the exported fields before Add.
+// Run is one stream that an engine generates. Set the exported fields before
+// Mover.Add.
 type Run struct {
 	ID      string
 	Service string
 	Engine  *routing.Engine
-	// Prompt and MaxOutput are in tokens.
+	// Prompt and MaxOutput are numbers of tokens.
 	Prompt    int
 	MaxOutput int
-	// Output is how many tokens of memory the answer is planned with, as it was
-	// where the run began. A target that had to hold the longest answer would
-	// rarely be found, and other zones take twice as long to copy to.
+	// Output is the number of tokens of memory that placement plans for the
+	// answer, as at the start of the run. Planning for the longest possible
+	// answer would rarely leave a target in the same zone, and copies into
+	// other zones take twice as long.
 	Output int
 
 	mu       sync.Mutex
 	endpoint roster.Endpoint
 	events   int
 	ended    bool
-	// standby is the ID of the engine that keeps a copy of the run, or empty.
+	// standby is the ID of the engine that keeps a standby copy of the run. It
+	// is empty if there is none.
 	standby string
-	// stopping is open while a final copy is under way.
+	// stopping is set while a final copy is in progress, and closed when the
+	// copy has ended. It becomes nil when the copy has failed or Await has
+	// returned the move.
 	stopping chan struct{}
 	moved    *Moved
 }
 
-// At notes the engine at which the run is, from the start or after a move.
-func (ru *Run) At(en roster.Endpoint) {
+// SetEndpoint sets the engine on which the run is. It must be called before
+// Mover.Add and after each takeover from a standby copy.
+func (ru *Run) SetEndpoint(en roster.Endpoint) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	ru.endpoint = en
 }
 
-// Endpoint returns the engine at which the run is.
+// Endpoint returns the engine on which the run is.
 func (ru *Run) Endpoint() roster.Endpoint {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	return ru.endpoint
 }
 
-// Keep notes the engine that keeps a copy of the run; empty means none.
-func (ru *Run) Keep(standby string) {
+// SetStandby sets the ID of the engine that keeps a standby copy of the run. An
+// empty ID means that there is none.
+func (ru *Run) SetStandby(standby string) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	ru.standby = standby
 }
 
-// Progress notes how many events have come in all.
-func (ru *Run) Progress(events int) {
+// SetEvents sets the total number of events received so far.
+func (ru *Run) SetEvents(events int) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	ru.events = events
 }
 
-// Stopping tells whether the run was asked to stop for a move.
+// Stopping reports whether the run was asked to stop for a move.
 func (ru *Run) Stopping() bool {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	return ru.stopping != nil
 }
 
-// Await returns where the run goes on, once a final copy that is under way has
-// ended. It returns false if the run does not go on.
+// Await waits for the end of a final copy in progress and returns where the run
+// continues. It returns false if no move was started, the move failed, or ctx
+// ended.
 func (ru *Run) Await(ctx context.Context) (Moved, bool) {
 	ru.mu.Lock()
 	stopping := ru.stopping
@@ -102,15 +111,16 @@
 	return mv, true
 }
 
-// Complete states where the run goes on, for movers that need no copies.
+// Complete records a move that needed no copies, such as those of tests.
 func (ru *Run) Complete(mv Moved) {
-	if ru.begin() {
-		ru.finish(&mv)
+	if ru.beginFinalCopy() {
+		ru.finishFinalCopy(&mv)
 	}
 }
 
-// begin marks the start of a final copy. It returns false if the run is over.
-func (ru *Run) begin() bool {
+// beginFinalCopy marks the start of a final copy. It returns false if the run
+// has ended or a final copy has already been started.
+func (ru *Run) beginFinalCopy() bool {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	if ru.ended || ru.stopping != nil {
@@ -120,9 +130,10 @@
 	return true
 }
 
-// finish ends a final copy; nil means that the run was not stopped. It returns
-// whether the run still wants the copy.
-func (ru *Run) finish(mv *Moved) bool {
+// finishFinalCopy marks the end of a final copy. A nil mv means that the run
+// was not stopped. It returns whether the copy is still needed, which it is not
+// if the run has ended.
+func (ru *Run) finishFinalCopy(mv *Moved) bool {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	ru.moved = mv
@@ -135,7 +146,8 @@
 	return !ru.ended
 }
 
-// end marks the run as over and returns a copy that nobody will use.
+// end marks the run as ended. It returns the completed move that the stream has
+// not taken up, or nil.
 func (ru *Run) end() *Moved {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
@@ -145,8 +157,7 @@
 	return mv
 }
 
-// state returns what a plan needs to know of the run.
-func (ru *Run) state() candidate {
+func (ru *Run) snapshot() candidate {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	made := ru.events * max(ru.Engine.TokensPerEvent, 1)
