--- a/internal/admission/account.go
+++ b/internal/admission/account.go
@@ -9,105 +9,122 @@
 	"filbertstall.example/filbertstall/internal/warmup"
 )
 
-// account is what is known of one endpoint.
+// account is the state that the allocator keeps for one endpoint.
 type account struct {
 	Candidate
-	warm   warmup.State
-	pace   pace
-	recent recent
-	outage outage
-	// paused accounts get no work until their outage ends.
+	warm          warmup.State
+	tokenLatency  tokenLatency
+	recentLatency recentLatency
+	backOff       backOff
+	// paused is set while the endpoint gets no new work because of backOff.
 	paused bool
-	// sequences are in flight; yielding of them are preempted first.
-	sequences []*sequence
-	yielding  int
-	// load is the forecast of all sequences, held their memory now.
-	load forecast
-	held float64
-	// peaks are the highest held in the current and the last report period.
+	// sequences are the requests in flight at the endpoint. preemptFirst
+	// counts those with preemptFirstPriority.
+	sequences    []*sequence
+	preemptFirst int
+	// totalForecast is the sum of the memory forecasts of all sequences, and
+	// used their current memory in tokens.
+	totalForecast forecast
+	used          float64
+	// peaks holds the highest value of used in the current and in the previous
+	// report period.
 	peaks [2]float64
-	// foreign is memory in use that no known sequence accounts for.
-	foreign float64
-	// reported is the memory that the endpoint says it has, zero if unknown.
-	reported float64
-	// boot and preempted are of the last report.
-	boot      string
-	preempted int64
-	// score orders the accounts of an index; position is its place there.
+	// untracked is the memory in use, in tokens, that exceeds what the known
+	// sequences account for.
+	untracked float64
+	// reportedMemory is the total memory that the endpoint reports, in tokens,
+	// or zero if unknown.
+	reportedMemory float64
+	// bootID and preemptedTotal come from the last report of the endpoint.
+	bootID         string
+	preemptedTotal int64
+	// score orders the accounts of an index, and position is the place of the
+	// account in it.
 	score    float64
 	index    *index
 	position int
 }
 
 const (
-	// reservedSequences are kept free for short requests.
+	// reservedSequences is the number of slots kept free for short requests.
 	reservedSequences = 2
-	// comfort is the share of the memory above which more room is no gain, and
-	// the endpoint with the shorter step is better.
-	comfort = 0.05
-	// sequenceTokens is the memory that one more sequence counts for: the time
-	// that it adds to a step, and the tokens that it will grow by.
-	sequenceTokens = 800
-	// reservedShare of the memory is kept free for short requests.
-	reservedShare = 0.01
+	// ampleRoomShare is the share of the memory above which further room has
+	// no benefit, and the endpoint with the shorter decode step is the better
+	// choice.
+	ampleRoomShare = 0.05
+	// sequenceCostTokens is the memory, in tokens, that a sequence is taken to
+	// cost in addition to what it uses now. It stands for the time that the
+	// sequence adds to a decode step and for the tokens that it will still
+	// produce.
+	sequenceCostTokens = 800
+	// reservedMemoryShare is the share of the memory kept free for short
+	// requests.
+	reservedMemoryShare = 0.01
 )
 
-// model tells whether the endpoint decodes, so that its memory binds.
-func (ac *account) model() bool { return ac.Endpoint.Capacity.MemoryTokens > 0 }
+// decodes reports whether the endpoint generates tokens, so that its memory
+// limits the requests in flight.
+func (ac *account) decodes() bool { return ac.Endpoint.Capacity.MemoryTokens > 0 }
 
+// memory returns the memory of the endpoint that the allocator can use, in
+// tokens.
 func (ac *account) memory() float64 {
 	memory := float64(ac.Endpoint.Capacity.MemoryTokens)
-	if ac.reported > 0 {
-		memory = min(memory, ac.reported)
+	if ac.reportedMemory > 0 {
+		memory = min(memory, ac.reportedMemory)
 	}
-	return memory - ac.foreign
+	return memory - ac.untracked
 }
 
-// bound is how many sequences the endpoint bears at once now.
-func (ac *account) bound() int {
-	bound := min(ac.warm.Allowed(), ac.Endpoint.Capacity.Sequences)
-	if ac.model() {
-		bound = min(bound, ac.pace.bound())
+// limit returns how many requests the endpoint can currently run at once.
+func (ac *account) limit() int {
+	limit := min(ac.warm.Allowed(), ac.Endpoint.Capacity.Sequences)
+	if ac.decodes() {
+		limit = min(limit, ac.tokenLatency.limit())
 	}
-	return bound
+	return limit
 }
 
-// free tells whether a place is left. Long requests leave some to short ones.
-func (ac *account) free(short bool) bool {
-	bound := ac.bound()
-	if !short && ac.model() && bound > 2*reservedSequences {
-		bound -= reservedSequences
+// hasFreeSlot reports whether the endpoint can run one more request. Long
+// requests leave reservedSequences slots free for short ones.
+func (ac *account) hasFreeSlot(short bool) bool {
+	limit := ac.limit()
+	if !short && ac.decodes() && limit > 2*reservedSequences {
+		limit -= reservedSequences
 	}
-	return len(ac.sequences) < bound
+	return len(ac.sequences) < limit
 }
 
-// tested tells whether the endpoint has as much at once as it is allowed.
-func (ac *account) tested() bool {
+// saturated reports whether the endpoint runs as many requests as its warm-up
+// state allows, leaving out the slots reserved for short requests. Only work
+// under this load counts towards the warm-up.
+func (ac *account) saturated() bool {
 	allowed := ac.warm.Allowed()
-	if ac.model() && allowed > 2*reservedSequences {
+	if ac.decodes() && allowed > 2*reservedSequences {
 		allowed -= reservedSequences
 	}
 	return len(ac.sequences) >= allowed
 }
 
-// ready tells whether the endpoint takes any new work now.
-func (ac *account) ready() bool { return ac.Eligible && !ac.paused && ac.free(true) }
+// ready reports whether the endpoint currently accepts any new request.
+func (ac *account) ready() bool { return ac.Eligible && !ac.paused && ac.hasFreeSlot(true) }
 
-// rank computes the score, higher first: the room that is left, or where that
-// is plenty, what is expected to keep the step short.
-func (ac *account) rank(risk float64) float64 {
+// computeScore returns the score of the account, higher is better. While
+// memory is scarce, the score is the room that is left at the given risk.
+// Otherwise it prefers the endpoint with the shortest expected decode step.
+func (ac *account) computeScore(risk float64) float64 {
 	if !ac.ready() {
 		return math.Inf(-1)
 	}
-	if !ac.model() {
-		return float64(ac.bound()-len(ac.sequences)) / float64(ac.Endpoint.Capacity.Sequences)
+	if !ac.decodes() {
+		return float64(ac.limit()-len(ac.sequences)) / float64(ac.Endpoint.Capacity.Sequences)
 	}
 	memory := ac.memory()
-	room := ac.load.room(memory, risk)
-	if room < comfort*memory {
+	room := ac.totalForecast.room(memory, risk)
+	if room < ampleRoomShare*memory {
 		return room
 	}
-	return 2*memory - ac.held - sequenceTokens*float64(len(ac.sequences))
+	return 2*memory - ac.used - sequenceCostTokens*float64(len(ac.sequences))
 }
 
 func (ac *account) excluded(re *Request) bool { return slices.Contains(re.Exclude, ac.Endpoint.Name) }
@@ -115,8 +132,8 @@
 func (ac *account) add(se *sequence) {
 	se.ac, se.position = ac, len(ac.sequences)
 	ac.sequences = append(ac.sequences, se)
-	ac.load.add(&se.shape)
-	ac.hold(se.held())
+	ac.totalForecast.add(&se.memoryForecast)
+	ac.addUsed(se.used())
 }
 
 func (ac *account) remove(se *sequence) {
@@ -125,45 +142,48 @@
 	ac.sequences[se.position], moved.position = moved, se.position
 	ac.sequences[last] = nil
 	ac.sequences = ac.sequences[:last]
-	ac.load.subtract(&se.shape)
-	ac.hold(-se.held())
-	if se.yielding {
-		ac.yielding--
+	ac.totalForecast.subtract(&se.memoryForecast)
+	ac.addUsed(-se.used())
+	if se.preemptFirst {
+		ac.preemptFirst--
 	}
 	if last == 0 {
-		ac.load, ac.held = forecast{}, 0
+		ac.totalForecast, ac.used = forecast{}, 0
 	}
 }
 
-func (ac *account) hold(tokens float64) {
-	ac.held += tokens
-	ac.peaks[0] = max(ac.peaks[0], ac.held)
+func (ac *account) addUsed(tokens float64) {
+	ac.used += tokens
+	ac.peaks[0] = max(ac.peaks[0], ac.used)
 }
 
-// reshape replaces the forecast of one sequence.
-func (ac *account) reshape(se *sequence, known int64) {
-	ac.load.subtract(&se.shape)
-	se.fit(known)
-	ac.load.add(&se.shape)
+// updateForecast recomputes the forecast of one sequence and its part of the
+// total.
+func (ac *account) updateForecast(se *sequence, knownLength int64) {
+	ac.totalForecast.subtract(&se.memoryForecast)
+	se.computeForecast(knownLength)
+	ac.totalForecast.add(&se.memoryForecast)
 }
 
-// advance takes in new tokens of a sequence.
+// advance records that the answer of a sequence has grown to the given number
+// of tokens.
 func (ac *account) advance(now time.Time, se *sequence, tokens int64) {
 	fresh := tokens - se.tokens
-	if !se.moved.IsZero() && se.tokens > se.base {
-		ac.pace = ac.pace.with(now.Sub(se.moved), fresh, len(ac.sequences))
+	if !se.lastProgress.IsZero() && se.tokens > se.base {
+		ac.tokenLatency = ac.tokenLatency.with(now.Sub(se.lastProgress), fresh, len(ac.sequences))
 	}
-	se.tokens, se.moved = tokens, now
-	ac.outage.failures = 0
-	ac.hold(float64(fresh))
+	se.tokens, se.lastProgress = tokens, now
+	ac.backOff.failures = 0
+	ac.addUsed(float64(fresh))
 }
 
-// correct takes in the memory that the endpoint reports. The report lags, so
-// only what exceeds all that was known in flight lately is foreign, and less
-// than is known changes nothing.
-func (ac *account) correct(lo endpoint.Load) {
+// applyReport updates the account from the memory that the endpoint reports.
+// Reports lag behind, so only memory beyond the peak of the last two report
+// periods counts as untracked, and a report of less memory than is known
+// changes nothing.
+func (ac *account) applyReport(lo endpoint.Load) {
 	known := max(ac.peaks[0], ac.peaks[1])
-	ac.foreign = max(float64(lo.MemoryUsed)-known, 0)
-	ac.peaks = [2]float64{ac.held, ac.peaks[0]}
-	ac.reported = float64(lo.MemoryTotal)
+	ac.untracked = max(float64(lo.MemoryUsed)-known, 0)
+	ac.peaks = [2]float64{ac.used, ac.peaks[0]}
+	ac.reportedMemory = float64(lo.MemoryTotal)
 }
--- a/internal/admission/allocator.go
+++ b/internal/admission/allocator.go
@@ -11,46 +11,47 @@
 )
 
 const (
-	defaultQueueLimit = 4096
-	defaultQueueWait  = 250 * time.Millisecond
-	defaultWaitShare  = 0.25
+	defaultQueueLimit   = 4096
+	defaultQueueWait    = 250 * time.Millisecond
+	defaultMaxWaitShare = 0.25
 )
 
 // Allocator decides for one service which endpoint runs a request, and when.
-// It reads no clock and starts no goroutine: each call passes the time, which
-// never goes back. It is not safe for concurrent use. Set the exported fields
-// before the first call; zero means the default.
+// It reads no clock and starts no goroutines: each call passes the current
+// time, which must not decrease. It is not safe for concurrent use. Set the
+// exported fields before the first call; zero selects the default.
 type Allocator struct {
-	// QueueLimit bounds the requests that wait in one lane.
+	// QueueLimit is the maximum number of requests queued in one lane.
 	QueueLimit int
-	// QueueWait is the longest expected wait with which a request is accepted
-	// that states no deadline.
+	// QueueWait is the longest expected wait with which a request without a
+	// deadline is accepted.
 	QueueWait time.Duration
-	// WaitShare is the part of the time to its deadline that a request may be
-	// expected to wait. Under overload the newest are refused, so that the
-	// older ones are served whatever their size.
-	WaitShare float64
-	// Known returns the length of an answer where it is known beforehand, else
-	// zero. It may be nil.
+	// MaxWaitShare is the largest share of the time to its deadline that a
+	// request may be expected to wait in the queue. Under overload the newest
+	// requests are therefore refused, and older ones are served whatever their
+	// size.
+	MaxWaitShare float64
+	// Known returns the length of the answer in tokens if it is known in
+	// advance, and zero otherwise. It may be nil.
 	Known func(re Request) int64
 
 	lengths  length.Estimator
 	accounts map[string]*account
 	order    []*account
-	indexes  [distances]index
+	indexes  [distanceCount]index
 	running  map[string]*sequence
 	lanes    [laneCount]lane
 	margin   margin
 	prefixes prefixes
-	// unusedShare of the memory was free at unusedAt.
+	// unusedShare is the share of the memory that was free at unusedAt.
 	unusedShare float64
 	unusedAt    time.Time
-	// paused accounts wait for the end of an outage.
+	// paused lists the accounts in back-off.
 	paused []*account
 }
 
-// distances is the number of values of Candidate.Distance.
-const distances = 3
+// distanceCount is the number of values of Candidate.Distance.
+const distanceCount = 3
 
 func (al *Allocator) prepare() {
 	if al.accounts != nil {
@@ -58,7 +59,7 @@
 	}
 	al.accounts = make(map[string]*account)
 	al.running = make(map[string]*sequence)
-	al.margin = margin{firstRisk}
+	al.margin = margin{initialRisk}
 	for ix := range al.lanes {
 		al.lanes[ix].kind = laneKind(ix)
 	}
@@ -68,20 +69,21 @@
 	if al.QueueWait == 0 {
 		al.QueueWait = defaultQueueWait
 	}
-	if al.WaitShare == 0 {
-		al.WaitShare = defaultWaitShare
+	if al.MaxWaitShare == 0 {
+		al.MaxWaitShare = defaultMaxWaitShare
 	}
 }
 
-// SetEndpoints replaces the list of endpoints. One that is left out takes no
-// new work; its account stays while requests are in flight there.
+// SetEndpoints replaces the list of endpoints. An endpoint that is no longer
+// listed gets no new work, but its account remains while requests are in
+// flight there.
 func (al *Allocator) SetEndpoints(_ time.Time, list []Candidate) {
 	al.prepare()
 	for _, ac := range al.order {
 		ac.Eligible = false
 	}
 	for _, ca := range list {
-		al.place(al.account(ca.Endpoint.Name), ca)
+		al.updateCandidate(al.account(ca.Endpoint.Name), ca)
 	}
 	kept := al.order[:0]
 	for _, ac := range al.order {
@@ -90,7 +92,7 @@
 			delete(al.accounts, ac.Endpoint.Name)
 			continue
 		}
-		al.rerank(ac)
+		al.updateScore(ac)
 		kept = append(kept, ac)
 	}
 	clear(al.order[len(kept):])
@@ -106,14 +108,14 @@
 	return false
 }
 
-func (al *Allocator) place(ac *account, ca Candidate) {
+func (al *Allocator) updateCandidate(ac *account, ca Candidate) {
 	first := ac.Endpoint.Capacity.Sequences == 0
 	ac.Candidate = ca
 	ac.index.remove(ac)
-	al.indexes[min(max(ca.Distance, 0), distances-1)].insert(ac)
+	al.indexes[min(max(ca.Distance, 0), distanceCount-1)].insert(ac)
 	limits := ca.Endpoint.Capacity
 	if first {
-		ac.warm = warmup.New(limits.ColdSequences, limits.Sequences).WithBoot(ac.boot)
+		ac.warm = warmup.New(limits.ColdSequences, limits.Sequences).WithBoot(ac.bootID)
 		return
 	}
 	ac.warm = ac.warm.WithLimits(limits.ColdSequences, limits.Sequences)
@@ -126,44 +128,45 @@
 		ac.Endpoint.Name = name
 		al.accounts[name] = ac
 		al.order = append(al.order, ac)
-		al.indexes[distances-1].insert(ac)
+		al.indexes[distanceCount-1].insert(ac)
 	}
 	return ac
 }
 
-func (al *Allocator) rerank(ac *account) {
-	ac.score = ac.rank(al.margin.risk)
+func (al *Allocator) updateScore(ac *account) {
+	ac.score = ac.computeScore(al.margin.risk)
 	ac.index.fix(ac)
 }
 
-// Submit queues a request, or refuses it at once. A request that is queued or
-// in flight already is not queued again.
+// Submit queues a request, or returns the reason if it is refused at once. It
+// does nothing for a request that is already queued or in flight.
 func (al *Allocator) Submit(now time.Time, re Request) *refusal.Error {
 	al.prepare()
 	if _, found := al.running[re.ID]; found {
 		return nil
 	}
-	if !al.usable(re) {
+	if !al.hasUsableEndpoint(re) {
 		return refusal.New(refusal.NoCapacity, "no endpoint of service "+re.Service+" takes new work")
 	}
-	cu := al.lengths.Curve(keyOf(re))
+	cu := al.lengths.Curve(lengthKey(re))
 	la := al.laneOf(re, cu)
 	if la.queue.Len() >= al.QueueLimit {
 		return refusal.New(refusal.QueueFull, "the queue of service "+re.Service+" is full")
 	}
 	wait := la.expectedWait(now, re)
-	if wait > al.longestWait(now, la, re) {
+	if wait > al.maxExpectedWait(now, la, re) {
 		er := refusal.New(refusal.QueueTime, "the expected wait is too long")
 		er.RetryAfter = max(wait, time.Second)
 		return er
 	}
-	la.push(now, waiting{re, cu})
+	la.push(now, queuedRequest{re, cu})
 	return nil
 }
 
-// longestWait is the expected wait above which a request is refused. An answer
-// that goes on may wait to its deadline, since it would be cut.
-func (al *Allocator) longestWait(now time.Time, la *lane, re Request) time.Duration {
+// maxExpectedWait returns the expected wait above which a request is refused.
+// A resumed answer may wait until its deadline, because a refusal would
+// truncate it.
+func (al *Allocator) maxExpectedWait(now time.Time, la *lane, re Request) time.Duration {
 	if re.Deadline.IsZero() {
 		return al.QueueWait
 	}
@@ -171,10 +174,10 @@
 	if la.kind == resumedLane {
 		return left
 	}
-	return max(time.Duration(al.WaitShare*float64(left)), min(al.QueueWait, left))
+	return max(time.Duration(al.MaxWaitShare*float64(left)), min(al.QueueWait, left))
 }
 
-func (al *Allocator) usable(re Request) bool {
+func (al *Allocator) hasUsableEndpoint(re Request) bool {
 	for _, ac := range al.order {
 		if ac.Eligible && !ac.excluded(&re) {
 			return true
@@ -194,7 +197,7 @@
 	}
 }
 
-// Withdraw takes a request out of the queue whose caller gave up.
+// Withdraw removes a queued request whose caller canceled it.
 func (al *Allocator) Withdraw(_ time.Time, id string) {
 	for ix := range al.lanes {
 		if _, found := al.lanes[ix].queue.Remove(id); found {
@@ -203,73 +206,77 @@
 	}
 }
 
-// Adopt counts a request that is in flight already, granted by an earlier
-// allocator or resumed. It counts even if the endpoint is full.
+// Adopt records a request that is already in flight at the named endpoint,
+// either granted by an earlier allocator or resumed there. It counts even if
+// the endpoint is full.
 func (al *Allocator) Adopt(now time.Time, re Request, name string, tokens int64) {
 	al.prepare()
 	if _, found := al.running[re.ID]; found {
 		return
 	}
 	al.Withdraw(now, re.ID)
-	al.begin(waiting{re, al.lengths.Curve(keyOf(re))}, al.account(name), max(tokens, re.DoneTokens), 0)
+	al.begin(queuedRequest{re, al.lengths.Curve(lengthKey(re))}, al.account(name), max(tokens, re.DoneTokens), 0)
 }
 
-func (al *Allocator) begin(wa waiting, ac *account, tokens int64, charged float64) *sequence {
-	se := &sequence{re: wa.re, curve: wa.curve, tokens: tokens, base: tokens, counted: tokens, charged: charged}
-	se.fit(al.known(wa.re))
-	al.running[wa.re.ID] = se
-	al.prefixes.add(wa.re.Prefix, ac)
+// begin records a granted or adopted request as in flight at the endpoint.
+// charged is the number of tokens that its team was charged already.
+func (al *Allocator) begin(qr queuedRequest, ac *account, tokens int64, charged float64) *sequence {
+	se := &sequence{re: qr.re, curve: qr.curve, tokens: tokens, base: tokens, observed: tokens, charged: charged}
+	se.computeForecast(al.knownLength(qr.re))
+	al.running[qr.re.ID] = se
+	al.prefixes.add(qr.re.Prefix, ac)
 	ac.add(se)
-	al.rerank(ac)
+	al.updateScore(ac)
 	return se
 }
 
-func (al *Allocator) known(re Request) int64 {
+func (al *Allocator) knownLength(re Request) int64 {
 	if al.Known == nil {
 		return 0
 	}
 	return al.Known(re)
 }
 
-// Progress tells how many tokens of the answer exist.
+// Progress reports how many tokens of the answer exist.
 func (al *Allocator) Progress(now time.Time, id string, tokens int64) {
 	se, found := al.running[id]
 	if !found || tokens <= se.tokens {
 		return
 	}
 	ac := se.ac
-	al.prove(now, se, tokens-se.tokens)
+	al.updateWarmUp(now, se, tokens-se.tokens)
 	ac.advance(now, se, tokens)
-	if se.tokens-se.shaped < refreshTokens {
+	if se.tokens-se.forecastTokens < refreshTokens {
 		return
 	}
-	al.learn(se)
-	ac.reshape(se, al.known(se.re))
-	al.rerank(ac)
+	al.recordTokens(se)
+	ac.updateForecast(se, al.knownLength(se.re))
+	al.updateScore(ac)
 }
 
-// prove counts tokens for the warm-up, or falls back if they came slowly.
-func (al *Allocator) prove(now time.Time, se *sequence, fresh int64) {
+// updateWarmUp counts new tokens towards the warm-up of the endpoint, or
+// resets the endpoint to cold if they arrived too slowly.
+func (al *Allocator) updateWarmUp(now time.Time, se *sequence, fresh int64) {
 	ac := se.ac
-	if se.moved.IsZero() || !ac.model() {
+	if se.lastProgress.IsZero() || !ac.decodes() {
 		return
 	}
-	ac.recent = ac.recent.with(now.Sub(se.moved), fresh)
-	if ac.recent.slow(ac.pace.gap()) {
-		ac.warm, ac.recent = ac.warm.WithCold(), recent{}
-		al.rerank(ac)
+	ac.recentLatency = ac.recentLatency.with(now.Sub(se.lastProgress), fresh)
+	if ac.recentLatency.slow(ac.tokenLatency.mean()) {
+		ac.warm, ac.recentLatency = ac.warm.WithCold(), recentLatency{}
+		al.updateScore(ac)
 		return
 	}
-	if ac.tested() {
+	if ac.saturated() {
 		ac.warm = ac.warm.WithProof(float64(fresh) / warmup.ProofTokens)
 	}
 }
 
-// learn tells the curve of the tokens that were made since the last time, and
-// charges the team for what goes beyond the expected length.
-func (al *Allocator) learn(se *sequence) {
-	se.curve.Passed(se.counted, se.tokens)
-	se.counted = se.tokens
+// recordTokens updates the length curve with the tokens produced since its
+// last call, and charges the team for tokens beyond the expected length.
+func (al *Allocator) recordTokens(se *sequence) {
+	se.curve.ObserveProgress(se.observed, se.tokens)
+	se.observed = se.tokens
 	if more := float64(se.tokens-se.base) - se.charged; more > 0 {
 		al.charge(se, more)
 	}
@@ -282,7 +289,8 @@
 	}
 }
 
-// Finish gives the place of a request back.
+// Finish ends a request and frees its slot. It does nothing for an unknown
+// request.
 func (al *Allocator) Finish(now time.Time, id string, ou Outcome) {
 	se, found := al.running[id]
 	if !found {
@@ -290,34 +298,35 @@
 	}
 	ac := se.ac
 	delete(al.running, id)
-	if ou.Result == Whole && !ac.model() && ac.tested() {
+	if ou.Result == Whole && !ac.decodes() && ac.saturated() {
 		ac.warm = ac.warm.WithProof(1.0 / warmup.ProofCalls)
 	}
 	ac.remove(se)
 	se.tokens = max(se.tokens, ou.Tokens)
-	al.learn(se)
+	al.recordTokens(se)
 	if ou.Result == Whole {
-		se.curve.Ended(se.tokens)
+		se.curve.ObserveEnd(se.tokens)
 	}
 	al.charge(se, float64(se.tokens-se.base)-se.charged)
-	al.fail(now, ac, ou.Result)
-	al.rerank(ac)
+	al.recordFailure(now, ac, ou.Result)
+	al.updateScore(ac)
 }
 
-// Report takes in an endpoint's own report, which lags.
+// Report updates the state of an endpoint from its own load report, which lags
+// behind.
 func (al *Allocator) Report(_ time.Time, name string, lo endpoint.Load) {
 	ac, found := al.accounts[name]
 	if !found {
 		return
 	}
 	ac.warm = ac.warm.WithBoot(lo.BootID)
-	if ac.boot != "" && ac.boot != lo.BootID {
-		al.prefixes.forget(ac)
+	if ac.bootID != "" && ac.bootID != lo.BootID {
+		al.prefixes.removeEndpoint(ac)
 	}
-	if ac.boot == lo.BootID && lo.PreemptedTotal > ac.preempted {
-		al.margin = al.margin.withPreempted(lo.PreemptedTotal - ac.preempted)
+	if ac.bootID == lo.BootID && lo.PreemptedTotal > ac.preemptedTotal {
+		al.margin = al.margin.withPreempted(lo.PreemptedTotal - ac.preemptedTotal)
 	}
-	ac.boot, ac.preempted = lo.BootID, lo.PreemptedTotal
-	ac.correct(lo)
-	al.rerank(ac)
+	ac.bootID, ac.preemptedTotal = lo.BootID, lo.PreemptedTotal
+	ac.applyReport(lo)
+	al.updateScore(ac)
 }
--- a/internal/admission/allocator_test.go
+++ b/internal/admission/allocator_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// allocator returns one with a warm endpoint for each name.
+// allocator returns an allocator with one warm endpoint for each name.
 func allocator(memory, sequences int, names ...string) *admission.Allocator {
 	al := &admission.Allocator{}
 	var list []admission.Candidate
@@ -46,8 +46,9 @@
 	return al
 }
 
-// granted submits requests like re with ids from prefix and returns the grants.
-func granted(al *admission.Allocator, now time.Time, re admission.Request, prefix string, count int) []admission.Decision {
+// submitAndDecide submits count copies of re with IDs that start with prefix,
+// and returns the grants of the decision that follows.
+func submitAndDecide(al *admission.Allocator, now time.Time, re admission.Request, prefix string, count int) []admission.Decision {
 	for ix := range count {
 		re.ID = prefix + strconv.Itoa(ix)
 		_ = al.Submit(now, re)
@@ -65,54 +66,54 @@
 	long := admission.Request{Class: "chapter", PromptTokens: 400}
 	short := admission.Request{Class: "lookup", PromptTokens: 50, MaxTokens: 32}
 
-	It("never has more in flight at an endpoint than it bears", func() {
+	It("never exceeds the concurrency limit of an endpoint", func() {
 		al := allocator(0, 1, "a", "b")
-		late := admission.Request{Deadline: start.Add(time.Second)}
-		Expect(granted(al, start, late, "r", 5)).To(HaveLen(2))
+		withDeadline := admission.Request{Deadline: start.Add(time.Second)}
+		Expect(submitAndDecide(al, start, withDeadline, "r", 5)).To(HaveLen(2))
 		al.Finish(start, "r0", admission.Outcome{Result: admission.Whole})
 		Expect(al.Decide(start)).To(ConsistOf(HaveField("Refusal", BeNil())))
 		Expect(al.Decide(start.Add(time.Second))).To(ConsistOf(
 			HaveField("Refusal.Reason", refusal.DeadlinePassed), HaveField("Refusal.Reason", refusal.DeadlinePassed)))
 	})
 
-	It("counts adopted requests, also above the limit", func() {
+	It("counts adopted requests even above the limit", func() {
 		al := allocator(0, 1, "a")
 		al.Adopt(start, admission.Request{ID: "x"}, "a", 7)
 		al.Adopt(start, admission.Request{ID: "y"}, "a", 7)
-		Expect(granted(al, start, long, "z", 1)).To(BeEmpty())
+		Expect(submitAndDecide(al, start, long, "z", 1)).To(BeEmpty())
 		al.Finish(start, "x", admission.Outcome{})
 		Expect(al.Decide(start)).To(BeEmpty())
 		al.Finish(start, "y", admission.Outcome{})
 		Expect(al.Decide(start)).To(HaveLen(1))
 	})
 
-	It("refuses at once what no endpoint may run, and what would wait too long", func() {
+	It("refuses at once a request that no endpoint may run or that would wait too long", func() {
 		al := allocator(0, 1, "a")
 		Expect(al.Submit(start, admission.Request{ID: "x", Exclude: []string{"a"}})).To(HaveField("Reason", refusal.NoCapacity))
 		now := start
-		for ix := range 10 { // one grant a second
-			granted(al, now, long, "s"+strconv.Itoa(ix), 1)
+		for ix := range 10 { // one grant per second
+			submitAndDecide(al, now, long, "s"+strconv.Itoa(ix), 1)
 			al.Finish(now, "s"+strconv.Itoa(ix)+"0", admission.Outcome{Result: admission.Whole, Tokens: 500})
 			now = now.Add(time.Second)
 		}
-		Expect(granted(al, now, long, "busy", 2)).To(HaveLen(1))
+		Expect(submitAndDecide(al, now, long, "busy", 2)).To(HaveLen(1))
 		Expect(al.Submit(now, admission.Request{ID: "y", Class: "chapter"})).To(HaveField("Reason", refusal.QueueTime))
 	})
 
-	It("keeps short calls out of the queue of chapters", func() {
+	It("does not queue short requests behind long ones", func() {
 		al := allocator(20_000, 64, "a")
-		Expect(len(granted(al, start, long, "l", 60))).To(BeNumerically("<", 60))
-		list := granted(al, start, short, "s", 2)
+		Expect(len(submitAndDecide(al, start, long, "l", 60))).To(BeNumerically("<", 60))
+		list := submitAndDecide(al, start, short, "s", 2)
 		Expect(list).To(HaveLen(2))
 		Expect(list[0].Priority).To(BeNumerically(">", 1))
 	})
 
-	It("lets an answer that goes on elsewhere pass new ones", func() {
+	It("serves a resumed answer before new ones", func() {
 		al := allocator(3_000, 64, "a")
-		granted(al, start, long, "l", 20)
-		on := long
-		on.DoneTokens, on.Deadline = 1_500, start.Add(time.Minute)
-		Expect(granted(al, start, on, "resumed", 1)).To(BeEmpty())
+		submitAndDecide(al, start, long, "l", 20)
+		resumed := long
+		resumed.DoneTokens, resumed.Deadline = 1_500, start.Add(time.Minute)
+		Expect(submitAndDecide(al, start, resumed, "resumed", 1)).To(BeEmpty())
 		now := start.Add(time.Second)
 		for ix := range 20 {
 			al.Finish(now, "l"+strconv.Itoa(ix), admission.Outcome{Result: admission.Canceled})
@@ -120,17 +121,17 @@
 		Expect(al.Decide(now)[0].ID).To(Equal("resumed0"))
 	})
 
-	It("lets reports correct the account but hide nothing that is in flight", func() {
+	It("adds untracked memory from reports but never subtracts requests in flight", func() {
 		busy, other := allocator(20_000, 64, "a"), allocator(20_000, 64, "a")
-		all := len(granted(busy, start, long, "l", 60))
+		all := len(submitAndDecide(busy, start, long, "l", 60))
 		other.Report(start, "a", endpoint.Load{BootID: "1", MemoryUsed: 10_000, MemoryTotal: 20_000})
-		Expect(len(granted(other, start, long, "l", 60))).To(BeNumerically("<", all))
+		Expect(len(submitAndDecide(other, start, long, "l", 60))).To(BeNumerically("<", all))
 		busy.Report(start, "a", endpoint.Load{BootID: "1", MemoryUsed: 0, MemoryTotal: 20_000})
-		Expect(granted(busy, start, long, "more", 1)).To(BeEmpty())
+		Expect(submitAndDecide(busy, start, long, "more", 1)).To(BeEmpty())
 	})
 
 	It("gives a restarted endpoint its cold amount, whoever notices", func() {
-		for _, notice := range []func(al *admission.Allocator){
+		for _, detectRestart := range []func(al *admission.Allocator){
 			func(al *admission.Allocator) {
 				al.Report(start, "a", endpoint.Load{BootID: "2", MemoryTotal: 60_000})
 			},
@@ -144,23 +145,23 @@
 		} {
 			al := &admission.Allocator{}
 			al.SetEndpoints(start, []admission.Candidate{candidate("a", 60_000, 64, 2)})
-			al.Restore(start, []admission.Warmth{{Endpoint: "a", BootID: "1", Allowed: 64}})
+			al.Restore(start, []admission.WarmUpState{{Endpoint: "a", BootID: "1", Allowed: 64}})
 			al.Report(start, "a", endpoint.Load{BootID: "1", MemoryTotal: 60_000})
-			Expect(granted(al, start, short, "w", 3)).To(HaveLen(3))
-			notice(al)
+			Expect(submitAndDecide(al, start, short, "w", 3)).To(HaveLen(3))
+			detectRestart(al)
 			for ix := range 3 {
 				al.Finish(start, "w"+strconv.Itoa(ix), admission.Outcome{Result: admission.Canceled})
 			}
-			Expect(granted(al, start.Add(time.Minute), short, "n", 3)).To(HaveLen(2))
+			Expect(submitAndDecide(al, start.Add(time.Minute), short, "n", 3)).To(HaveLen(2))
 		}
 	})
 
 	It("gives an endpoint that turns slow its cold amount", func() {
 		al := &admission.Allocator{}
 		al.SetEndpoints(start, []admission.Candidate{candidate("a", 60_000, 64, 2)})
-		al.Restore(start, []admission.Warmth{{Endpoint: "a", BootID: "1", Allowed: 64}})
+		al.Restore(start, []admission.WarmUpState{{Endpoint: "a", BootID: "1", Allowed: 64}})
 		al.Report(start, "a", endpoint.Load{BootID: "1", MemoryTotal: 60_000})
-		granted(al, start, short, "w", 8)
+		submitAndDecide(al, start, short, "w", 8)
 		now, tokens := start, int64(0)
 		advance := func(count int64, gap time.Duration) {
 			for range count {
@@ -174,35 +175,35 @@
 		Expect(al.Statistics().Cold).To(BeZero())
 		advance(8, 120*time.Millisecond)
 		Expect(al.Statistics().Cold).To(Equal(1))
-		Expect(granted(al, now, short, "n", 1)).To(BeEmpty())
+		Expect(submitAndDecide(al, now, short, "n", 1)).To(BeEmpty())
 	})
 
-	It("gives an endpoint that refused no work for a while", func() {
+	It("backs off from an endpoint that did not accept a request", func() {
 		al := allocator(0, 4, "a")
-		granted(al, start, long, "x", 1)
+		submitAndDecide(al, start, long, "x", 1)
 		al.Finish(start, "x0", admission.Outcome{Result: admission.NotBegun})
-		Expect(granted(al, start, long, "y", 1)).To(BeEmpty())
+		Expect(submitAndDecide(al, start, long, "y", 1)).To(BeEmpty())
 		at, found := al.NextDecision(start)
 		Expect(found).To(BeTrue())
 		Expect(al.Decide(at)).To(ConsistOf(HaveField("Endpoint", "a")))
 	})
 
-	It("prefers a holder of the prompt's prefix, and survives a wrong guess", func() {
+	It("prefers an endpoint that holds the prompt's prefix, unless it has no room", func() {
 		al := allocator(60_000, 64, "a", "b", "c")
 		pr := long
 		pr.Prefix = 9
 		al.CacheEvents(start, "b", []endpoint.CacheEvent{{Sequence: 1, Prefix: 9}})
-		Expect(granted(al, start, pr, "p", 1)).To(ConsistOf(HaveField("Endpoint", "b")))
+		Expect(submitAndDecide(al, start, pr, "p", 1)).To(ConsistOf(HaveField("Endpoint", "b")))
 		al.Report(start, "b", endpoint.Load{BootID: "1", MemoryUsed: 59_000, MemoryTotal: 60_000})
-		Expect(granted(al, start, pr, "q", 1)).NotTo(ContainElement(HaveField("Endpoint", "b")))
+		Expect(submitAndDecide(al, start, pr, "q", 1)).NotTo(ContainElement(HaveField("Endpoint", "b")))
 	})
 
-	It("answers each request once and bounds each endpoint under any order of calls", func() {
-		rapid.Check(GinkgoT(), func(rt *rapid.T) { orderOfCalls(rt) })
+	It("agrees with a model under random sequences of calls", func() {
+		rapid.Check(GinkgoT(), func(rt *rapid.T) { checkRandomCalls(rt) })
 	})
 })
 
-// model is what a test expects of an allocator.
+// model is the expected state of an allocator under test.
 type model struct {
 	al      *admission.Allocator
 	now     time.Time
@@ -210,17 +211,18 @@
 	running map[string]string
 }
 
-// bears is how many requests each endpoint of the model bears.
-const bears = 3
+// endpointLimit is the number of requests that each endpoint of the model can
+// run at once.
+const endpointLimit = 3
 
-// orderOfCalls makes random calls and compares the decisions with a model.
-func orderOfCalls(rt *rapid.T) {
-	mo := &model{al: allocator(8_000, bears, "a", "b"), now: start, queued: map[string]bool{}, running: map[string]string{}}
+// checkRandomCalls makes random calls and compares the decisions with a model.
+func checkRandomCalls(rt *rapid.T) {
+	mo := &model{al: allocator(8_000, endpointLimit, "a", "b"), now: start, queued: map[string]bool{}, running: map[string]string{}}
 	for step := range rapid.IntRange(1, 80).Draw(rt, "steps") {
 		mo.call(rt, step)
 		mo.decide(rt)
 		if st := mo.al.Statistics(); st.Queued != len(mo.queued) || st.InFlight != len(mo.running) {
-			rt.Fatalf("%+v, expected %d queued and %d in flight", st, len(mo.queued), len(mo.running))
+			rt.Fatalf("got statistics %+v, want %d queued and %d in flight", st, len(mo.queued), len(mo.running))
 		}
 	}
 }
@@ -249,7 +251,7 @@
 func (mo *model) decide(rt *rapid.T) {
 	for _, de := range mo.al.Decide(mo.now) {
 		if !mo.queued[de.ID] {
-			rt.Fatalf("%s was decided but not queued", de.ID)
+			rt.Fatalf("decision for request %s, which is not queued", de.ID)
 		}
 		delete(mo.queued, de.ID)
 		if de.Refusal == nil {
@@ -260,7 +262,7 @@
 	for _, name := range mo.running {
 		count[name]++
 	}
-	if count["a"] > bears || count["b"] > bears {
-		rt.Fatalf("in flight %v", count)
+	if count["a"] > endpointLimit || count["b"] > endpointLimit {
+		rt.Fatalf("requests in flight per endpoint %v exceed the limit", count)
 	}
 }
--- a/internal/admission/choose.go
+++ b/internal/admission/choose.go
@@ -1,63 +1,70 @@
 package admission
 
-// shortRisk is the part of the margin that is kept against short answers.
-const shortRisk = 0.5
+// shortRiskFactor is the part of the safety margin that applies to short
+// requests.
+const shortRiskFactor = 0.5
 
-// need is what a request asks of an endpoint.
-type need struct {
-	re    *Request
-	kind  laneKind
-	shape forecast
-	risk  float64
+// demand is what a request requires of an endpoint.
+type demand struct {
+	re             *Request
+	kind           laneKind
+	memoryForecast forecast
+	risk           float64
 }
 
-// choose returns the nearest endpoint with room, and among equally near ones
-// that with the most room, or one that holds the prompt's prefix and has little
-// less. It returns nil if none has room.
-func (al *Allocator) choose(kind laneKind, wa *waiting) *account {
-	ne := al.need(kind, wa)
+// choose returns an endpoint with room for the request, or nil if there is
+// none. It prefers the nearest endpoints, and among equally near ones the one
+// with the highest score, unless another that holds the prefix of the prompt
+// has only slightly less room.
+func (al *Allocator) choose(kind laneKind, qr *queuedRequest) *account {
+	dm := al.demand(kind, qr)
 	for ix := range al.indexes {
-		if ac := al.indexes[ix].choose(&ne); ac != nil {
-			return al.prefer(&ne, ac)
+		if ac := al.indexes[ix].choose(&dm); ac != nil {
+			return al.preferPrefixHolder(&dm, ac)
 		}
 	}
 	return nil
 }
 
-func (al *Allocator) need(kind laneKind, wa *waiting) need {
-	ne := need{re: &wa.re, kind: kind, risk: al.margin.risk}
+func (al *Allocator) demand(kind laneKind, qr *queuedRequest) demand {
+	dm := demand{re: &qr.re, kind: kind, risk: al.margin.risk}
 	if kind == shortLane {
-		ne.risk *= shortRisk
+		dm.risk *= shortRiskFactor
 	}
-	se := sequence{re: wa.re, curve: wa.curve, tokens: wa.re.DoneTokens}
-	se.fit(al.known(wa.re))
-	ne.shape = se.shape
-	return ne
+	se := sequence{re: qr.re, curve: qr.curve, tokens: qr.re.DoneTokens}
+	se.computeForecast(al.knownLength(qr.re))
+	dm.memoryForecast = se.memoryForecast
+	return dm
 }
 
-// choose returns the account with the most room that fits, or nil.
-func (in *index) choose(ne *need) *account {
+// choose returns the account with the highest score that has room for the
+// request, or nil.
+func (in *index) choose(dm *demand) *account {
 	var best *account
 	in.each(func(ac *account) bool {
-		if (best == nil || ac.score > best.score) && ac.fits(ne) {
+		if (best == nil || ac.score > best.score) && ac.fits(dm) {
 			best = ac
 		}
-		// Below the root the heap is not sorted, but nothing beats the root.
+		// The heap is only partially sorted, but no account has a higher score
+		// than the root.
 		return best != in.list[0]
 	})
 	return best
 }
 
-func (ac *account) fits(ne *need) bool {
-	if ac.excluded(ne.re) || !ac.free(ne.kind != longLane) {
+// fits reports whether the endpoint has a slot and enough memory for the
+// request. An endpoint without requests in flight accepts a request of any
+// size.
+func (ac *account) fits(dm *demand) bool {
+	if ac.excluded(dm.re) || !ac.hasFreeSlot(dm.kind != longLane) {
 		return false
 	}
-	if !ac.model() || len(ac.sequences) == 0 {
+	if !ac.decodes() || len(ac.sequences) == 0 {
 		return true
 	}
 	memory := ac.memory()
-	if ne.kind == longLane {
-		memory *= 1 - reservedShare
+	if dm.kind == longLane {
+		memory *= 1 - reservedMemoryShare
 	}
-	return ac.load.roomWith(&ne.shape, memory, ne.risk) >= 0
+	return ac.totalForecast.roomWith(&dm.memoryForecast, memory, dm.risk) >= 0
 }
--- a/internal/admission/choose_test.go
+++ b/internal/admission/choose_test.go
@@ -13,14 +13,15 @@
 
 var benchStart = time.Unix(1_000_000, 0)
 
-// crowded returns an allocator with count endpoints under different loads.
-func crowded(count int) *Allocator {
+// loadedAllocator returns an allocator with count endpoints under different
+// loads.
+func loadedAllocator(count int) *Allocator {
 	al := &Allocator{}
 	var list []Candidate
 	for no := range count {
 		ca := kind.Capacity{MemoryTokens: 60_000, Sequences: 256, ColdSequences: 256}
 		en := kind.Endpoint{Name: "e" + strconv.Itoa(no), Service: "filbert-pool", State: kind.EndpointServing, Capacity: ca}
-		list = append(list, Candidate{Endpoint: en, Eligible: true, Distance: no % distances})
+		list = append(list, Candidate{Endpoint: en, Eligible: true, Distance: no % distanceCount})
 	}
 	al.SetEndpoints(benchStart, list)
 	for no := range count * 8 {
@@ -30,42 +31,42 @@
 	return al
 }
 
-func someRequest(al *Allocator) waiting {
+func testRequest(al *Allocator) queuedRequest {
 	re := Request{ID: "x", Service: "filbert-pool", Team: "tatra", Class: "chapter", PromptTokens: 300, Prefix: 5}
-	return waiting{re, al.lengths.Curve(keyOf(re))}
+	return queuedRequest{re, al.lengths.Curve(lengthKey(re))}
 }
 
-var _ = Describe("Choice", func() {
-	It("allocates nothing and looks at few of 1,200 endpoints", func() {
-		al := crowded(1200)
-		wa := someRequest(al)
-		Expect(testing.AllocsPerRun(100, func() { al.choose(longLane, &wa) })).To(BeZero())
-		looked := 0
+var _ = Describe("choose", func() {
+	It("does not allocate and inspects only a few of 1,200 endpoints", func() {
+		al := loadedAllocator(1200)
+		qr := testRequest(al)
+		Expect(testing.AllocsPerRun(100, func() { al.choose(longLane, &qr) })).To(BeZero())
+		visited := 0
 		for ix := range al.indexes {
-			al.indexes[ix].each(func(*account) bool { looked++; return true })
+			al.indexes[ix].each(func(*account) bool { visited++; return true })
 		}
-		Expect(looked).To(BeNumerically("<=", inspected*distances))
+		Expect(visited).To(BeNumerically("<=", maxInspected*distanceCount))
 	})
 
-	It("takes the endpoint with the most room of the nearest distance", func() {
-		al := crowded(60)
-		wa := someRequest(al)
-		best := al.choose(longLane, &wa)
+	It("takes the endpoint with the highest score at the nearest distance", func() {
+		al := loadedAllocator(60)
+		qr := testRequest(al)
+		best := al.choose(longLane, &qr)
 		Expect(best.Distance).To(BeZero())
 		for _, ac := range al.order {
 			if ac.Distance == 0 {
-				Expect(ac.rank(al.margin.risk)).To(BeNumerically("<=", best.score))
+				Expect(ac.computeScore(al.margin.risk)).To(BeNumerically("<=", best.score))
 			}
 		}
 	})
 })
 
 func benchmarkChoose(be *testing.B, count int) {
-	al := crowded(count)
-	wa := someRequest(al)
+	al := loadedAllocator(count)
+	qr := testRequest(al)
 	be.ReportAllocs()
 	for be.Loop() {
-		al.choose(longLane, &wa)
+		al.choose(longLane, &qr)
 	}
 }
 
@@ -73,14 +74,14 @@
 func BenchmarkChoose1200(be *testing.B) { benchmarkChoose(be, 1200) }
 
 func benchmarkGrant(be *testing.B, count int) {
-	al := crowded(count)
-	wa := someRequest(al)
+	al := loadedAllocator(count)
+	qr := testRequest(al)
 	be.ReportAllocs()
 	for be.Loop() {
-		_ = al.Submit(benchStart, wa.re)
+		_ = al.Submit(benchStart, qr.re)
 		al.Decide(benchStart)
-		al.Progress(benchStart, wa.re.ID, refreshTokens)
-		al.Finish(benchStart, wa.re.ID, Outcome{Result: Whole, Tokens: 300})
+		al.Progress(benchStart, qr.re.ID, refreshTokens)
+		al.Finish(benchStart, qr.re.ID, Outcome{Result: Whole, Tokens: 300})
 	}
 }
 
--- a/internal/admission/class.go
+++ b/internal/admission/class.go
@@ -8,15 +8,17 @@
 )
 
 const (
-	// shortTokens is the mean length up to which an answer is short.
-	shortTokens = 96
-	// shortPrompt is the length of a prompt up to which a request is short.
-	shortPrompt = 2048
+	// shortAnswerTokens is the highest expected answer length of a short
+	// request.
+	shortAnswerTokens = 96
+	// shortPromptTokens is the highest prompt length of a short request.
+	shortPromptTokens = 2048
 )
 
-// keyOf names the kind of answer that a request is expected to get. Without a
-// class, prompts of similar length and with a similar bound are one.
-func keyOf(re Request) length.Key {
+// lengthKey returns the key of the length curve for a request. Requests
+// without a class are grouped by the order of magnitude of their prompt length
+// and token limit.
+func lengthKey(re Request) length.Key {
 	class := re.Class
 	if class == "" {
 		class = "p" + strconv.Itoa(bits.Len(uint(max(re.PromptTokens, 0)))) + "m" + strconv.Itoa(bits.Len64(uint64(max(re.MaxTokens, 0))))
@@ -24,11 +26,11 @@
 	return length.Key{Service: re.Service, Team: re.Team, Class: class}
 }
 
-// isShort tells whether a request belongs into the lane of short ones.
+// isShort reports whether a request belongs in the lane for short requests.
 func isShort(re Request, cu *length.Curve) bool {
-	if re.DoneTokens > 0 || re.PromptTokens > shortPrompt {
+	if re.DoneTokens > 0 || re.PromptTokens > shortPromptTokens {
 		return false
 	}
-	bounded := re.MaxTokens > 0 && re.MaxTokens <= shortTokens
-	return bounded || cu.Mean() <= shortTokens
+	bounded := re.MaxTokens > 0 && re.MaxTokens <= shortAnswerTokens
+	return bounded || cu.Mean() <= shortAnswerTokens
 }
--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -7,12 +7,13 @@
 	"filbertstall.example/filbertstall/internal/refusal"
 )
 
-// The priorities that are passed on to the engine. When its memory is full it
-// preempts the newest sequence of the lowest priority. One long answer on each
-// endpoint yields to all others: it is preempted before a new one, which would
-// free little and come back into a memory that is as full as before.
+// Priorities that are passed on to the engine. When its memory is full, the
+// engine preempts the newest sequence of the lowest priority. One long answer
+// on each endpoint has preemptFirstPriority and is preempted before all
+// others. Otherwise the engine would preempt the newest sequence, which frees
+// little memory and is then resumed while the memory is as full as before.
 const (
-	yieldingPriority = iota
+	preemptFirstPriority = iota
 	longPriority
 	resumedPriority
 	shortPriority
@@ -22,37 +23,37 @@
 
 // priority returns the priority of the next grant at the endpoint.
 func (ac *account) priority(kind laneKind) int {
-	if kind == longLane && ac.yielding == 0 {
-		return yieldingPriority
+	if kind == longLane && ac.preemptFirst == 0 {
+		return preemptFirstPriority
 	}
 	return priorities[kind]
 }
 
-func (la *lane) push(now time.Time, wa waiting) {
-	re := wa.re
-	la.queue.Push(queue.Item[waiting]{
-		ID: re.ID, Team: re.Team, Weight: re.Weight, Deadline: re.Deadline, Arrived: now, Limit: re.Deadline, Value: wa,
+func (la *lane) push(now time.Time, qr queuedRequest) {
+	re := qr.re
+	la.queue.Push(queue.Item[queuedRequest]{
+		ID: re.ID, Team: re.Team, Weight: re.Weight, Deadline: re.Deadline, Arrived: now, ExpiresAt: re.Deadline, Value: qr,
 	})
 }
 
 // Decide returns the grants and refusals that are due.
 func (al *Allocator) Decide(now time.Time) []Decision {
-	al.resume(now)
+	al.resumePaused(now)
 	list := al.expire(now)
 	for ix := range al.lanes {
 		la := &al.lanes[ix]
 		list, la.blocked = al.serve(now, la, list)
-		// A large answer that goes on elsewhere waits for a large room, which
-		// new long ones must not nibble at.
+		// A resumed answer needs a large amount of memory at once. New long
+		// requests must not take memory in small amounts while it waits.
 		if la.blocked && la.kind == resumedLane {
-			al.lanes[longLane].held = true
+			al.lanes[longLane].suspended = true
 		}
 	}
-	al.lanes[longLane].held = false
+	al.lanes[longLane].suspended = false
 	return list
 }
 
-// expire refuses what may wait no longer.
+// expire refuses the requests whose deadline has passed.
 func (al *Allocator) expire(now time.Time) []Decision {
 	var list []Decision
 	for ix := range al.lanes {
@@ -67,9 +68,9 @@
 	return list
 }
 
-// serve grants from one lane until its head finds no place.
+// serve grants requests of one lane until no endpoint has room for its head.
 func (al *Allocator) serve(now time.Time, la *lane, list []Decision) (_ []Decision, blocked bool) {
-	if la.held {
+	if la.suspended {
 		return list, true
 	}
 	for {
@@ -77,34 +78,35 @@
 		if !found {
 			return list, false
 		}
-		wa, waited := it.Value, now.After(it.Arrived)
-		ac := al.choose(la.kind, &wa)
+		qr, waited := it.Value, now.After(it.Arrived)
+		ac := al.choose(la.kind, &qr)
 		if ac == nil {
 			return list, true
 		}
-		expected := wa.curve.Mean()
+		expected := qr.curve.Mean()
 		la.queue.Pop(expected)
-		la.granted(now, wa.re.Team)
+		la.recordGrant(now, qr.re.Team)
 		priority := ac.priority(la.kind)
-		al.begin(wa, ac, wa.re.DoneTokens, expected).give(priority)
+		al.begin(qr, ac, qr.re.DoneTokens, expected).setPriority(priority)
 		if waited && la.kind == longLane {
-			al.margin = al.margin.withGranted(al.unusedLately(now))
+			al.margin = al.margin.withGranted(al.cachedUnused(now))
 		}
-		list = append(list, Decision{ID: wa.re.ID, Endpoint: ac.Endpoint.Name, Priority: priority})
+		list = append(list, Decision{ID: qr.re.ID, Endpoint: ac.Endpoint.Name, Priority: priority})
 	}
 }
 
-// NextDecision returns when Decide is worth calling again without new input.
+// NextDecision returns the time at which Decide is due again if nothing else
+// changes, or false if there is none.
 func (al *Allocator) NextDecision(time.Time) (time.Time, bool) {
 	next, queued := time.Time{}, false
 	for ix := range al.lanes {
-		at, found := al.lanes[ix].queue.NextLimit()
+		at, found := al.lanes[ix].queue.NextExpiry()
 		queued = queued || al.lanes[ix].queue.Len() > 0
 		if found && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
 	}
-	if at, found := al.resumption(); found && queued && (next.IsZero() || at.Before(next)) {
+	if at, found := al.nextResume(); found && queued && (next.IsZero() || at.Before(next)) {
 		next = at
 	}
 	return next, !next.IsZero()
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -8,18 +8,18 @@
 // Candidate is an endpoint that the allocator may choose.
 type Candidate struct {
 	Endpoint kind.Endpoint
-	// Eligible endpoints take new work. The others keep their accounts until
-	// their running work is over.
+	// Eligible endpoints get new work. The others keep their accounts until
+	// their requests in flight have ended.
 	Eligible bool
-	// Distance is 0 in the own zone, 1 in the same region, 2 elsewhere.
+	// Distance is 0 in the same zone, 1 in the same region and 2 elsewhere.
 	Distance int
 }
 
-// Decision answers one submitted request.
+// Decision is the answer to one submitted request.
 type Decision struct {
 	ID       string
 	Endpoint string
-	// Priority is passed on to the engine, higher first.
+	// Priority is passed on to the engine; higher values go first.
 	Priority int
 	// Refusal is nil for a grant.
 	Refusal *refusal.Error
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -6,13 +6,14 @@
 	"filbertstall.example/filbertstall/internal/length"
 )
 
-// horizons are the numbers of decode steps ahead at which the memory of an
-// endpoint is forecast. All its sequences grow by one token a step.
+// horizons are the numbers of decode steps ahead for which the memory of an
+// endpoint is forecast. Each of its sequences grows by one token per step.
 var horizons = [...]float64{0, 16, 32, 64, 96, 128, 192, 256, 384, 512, 768, 1024, 1536, 2048, 3072, 4096, 6144}
 
 const horizonCount = len(horizons)
 
-// forecast is the expected memory at each horizon in tokens, and its variance.
+// forecast holds the mean of the memory in use at each horizon, in tokens, and
+// its variance.
 type forecast struct {
 	mean, variance [horizonCount]float64
 }
@@ -31,8 +32,8 @@
 	}
 }
 
-// room returns the least memory that is left at any horizon, with a margin of
-// risk standard deviations.
+// room returns the memory left at the horizon where it is scarcest, with a
+// margin of risk standard deviations.
 func (fo *forecast) room(memory, risk float64) float64 {
 	left := math.Inf(1)
 	for ix := range horizonCount {
@@ -41,7 +42,7 @@
 	return left
 }
 
-// roomWith returns room as if other were added.
+// roomWith returns the value that room would have if other were added.
 func (fo *forecast) roomWith(other *forecast, memory, risk float64) float64 {
 	left := math.Inf(1)
 	for ix := range horizonCount {
@@ -51,12 +52,13 @@
 	return left
 }
 
-// forecastAnswer returns the forecast of one answer that holds prompt and done
-// tokens. limit bounds the length; zero is no limit.
+// forecastAnswer returns the forecast for an answer of unknown length. prompt
+// and done are the tokens that it holds now, and limit is the maximum length
+// of the answer; zero means no limit.
 func forecastAnswer(cu *length.Curve, prompt, done, limit float64) forecast {
 	var fo forecast
 	var share [horizonCount]float64
-	cu.BeyondEach(done, horizons[:], share[:])
+	cu.SurvivalEach(done, horizons[:], share[:])
 	for ix, ho := range horizons {
 		if limit > 0 && done+ho >= limit && ix > 0 {
 			break
@@ -68,16 +70,16 @@
 	return fo
 }
 
-// forecastKnown returns the forecast of an answer of known length. Each value
-// is the most that it holds since the horizon before.
-func forecastKnown(prompt, done, whole float64) forecast {
+// forecastKnown returns the forecast for an answer of known length. Each value
+// is the maximum that it holds since the previous horizon.
+func forecastKnown(prompt, done, total float64) forecast {
 	var fo forecast
 	before := 0.0
 	for ix, ho := range horizons {
-		if done+before >= whole {
+		if done+before >= total {
 			break
 		}
-		fo.mean[ix] = prompt + min(done+ho, whole)
+		fo.mean[ix] = prompt + min(done+ho, total)
 		before = ho
 	}
 	return fo
--- a/internal/admission/index.go
+++ b/internal/admission/index.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// index is a heap of the accounts of one distance, the highest score first.
+// index is a heap of the accounts at one distance, with the highest score at
+// the root.
 type index struct {
 	list []*account
 }
@@ -25,7 +26,7 @@
 	}
 }
 
-// fix restores the order after the score of ac changed.
+// fix restores the heap order after the score of ac has changed.
 func (in *index) fix(ac *account) {
 	if !in.up(ac.position) {
 		in.down(ac.position)
@@ -67,13 +68,13 @@
 	in.list[ix].position, in.list[iy].position = ix, iy
 }
 
-// inspected bounds how many accounts one choice looks at.
-const inspected = 15
+// maxInspected is the maximum number of accounts that one choice inspects.
+const maxInspected = 15
 
-// each visits the accounts from the top of the heap, at most inspected ones,
-// and leaves out those that are full.
+// each calls visit for the first maxInspected accounts in heap order, without
+// those that accept no work, until visit returns false.
 func (in *index) each(visit func(ac *account) bool) {
-	for _, ac := range in.list[:min(inspected, len(in.list))] {
+	for _, ac := range in.list[:min(maxInspected, len(in.list))] {
 		if !math.IsInf(ac.score, -1) && !visit(ac) {
 			return
 		}
--- a/internal/admission/lane.go
+++ b/internal/admission/lane.go
@@ -8,40 +8,43 @@
 	"filbertstall.example/filbertstall/internal/queue"
 )
 
-// lane is one of the queues: requests of different lanes do not wait for each
-// other's places in the queue.
+// lane is one of the queues of an allocator. Each lane has its own order and
+// limit, so that short requests do not suffer head-of-line blocking behind
+// long ones.
 type lane struct {
 	kind  laneKind
-	queue queue.Queue[waiting]
+	queue queue.Queue[queuedRequest]
 	rate  rate
-	// teams has the rate of the grants of each team.
+	// teams holds the grant rate of each team.
 	teams map[string]*rate
-	// blocked lanes had a request in the last decision that found no place.
+	// blocked is set if no endpoint had room for the head of the lane in the
+	// last decision.
 	blocked bool
-	// held lanes get no place in this decision.
-	held bool
+	// suspended is set while the lane gets no grants in the current decision.
+	suspended bool
 }
 
 type laneKind int
 
-// The lanes in the order of their service.
+// Lanes in the order in which they are served.
 const (
-	// resumedLane has answers that go on at another endpoint.
+	// resumedLane holds answers that are resumed at another endpoint.
 	resumedLane laneKind = iota
 	shortLane
 	longLane
 	laneCount
 )
 
-// waiting is a queued request with the curve of its length.
-type waiting struct {
+// queuedRequest is a request together with the curve of its answer length.
+type queuedRequest struct {
 	re    Request
 	curve *length.Curve
 }
 
-// expectedWait returns how long a new request of the team waits. A team that
-// waits already is served at the rate of its last grants; one that does not
-// gets its share of the lane.
+// expectedWait returns the time that a new request of the team is expected to
+// wait. It divides the requests ahead, under fair sharing, by the grant rate
+// of the lane. For a team with queued requests, it divides their number by the
+// grant rate of the team if that gives a longer time.
 func (la *lane) expectedWait(now time.Time, re Request) time.Duration {
 	if !la.blocked {
 		return 0
@@ -56,14 +59,14 @@
 	if ahead <= 0 || perSecond <= 0 {
 		return 0
 	}
-	return time.Duration(min(ahead/perSecond, longestWait) * float64(time.Second))
+	return time.Duration(min(ahead/perSecond, maxWaitSeconds) * float64(time.Second))
 }
 
-// longestWait bounds the estimate, in seconds.
-const longestWait = 3600
+// maxWaitSeconds limits the result of expectedWait.
+const maxWaitSeconds = 3600
 
-// granted counts a grant.
-func (la *lane) granted(now time.Time, team string) {
+// recordGrant updates the grant rates of the lane and of the team.
+func (la *lane) recordGrant(now time.Time, team string) {
 	la.rate.add(now)
 	ra, found := la.teams[team]
 	if !found {
@@ -76,10 +79,11 @@
 	ra.add(now)
 }
 
-// rateMemory is the time over which the rate of grants is averaged.
-const rateMemory = 3 * time.Second
+// rateTimeConstant is the time constant of the exponential average of grant
+// rates.
+const rateTimeConstant = 3 * time.Second
 
-// rate counts events with exponential decay.
+// rate is an exponentially weighted moving average of the rate of events.
 type rate struct {
 	count float64
 	at    time.Time
@@ -87,7 +91,7 @@
 
 func (ra *rate) decay(now time.Time) {
 	if !ra.at.IsZero() {
-		ra.count *= math.Exp(-now.Sub(ra.at).Seconds() / rateMemory.Seconds())
+		ra.count *= math.Exp(-now.Sub(ra.at).Seconds() / rateTimeConstant.Seconds())
 	}
 	ra.at = now
 }
@@ -99,5 +103,5 @@
 
 func (ra *rate) perSecond(now time.Time) float64 {
 	ra.decay(now)
-	return ra.count / rateMemory.Seconds()
+	return ra.count / rateTimeConstant.Seconds()
 }
--- a/internal/admission/local.go
+++ b/internal/admission/local.go
@@ -11,8 +11,9 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// Local grants places at the endpoint with the fewest requests in flight, from
-// the accounts of this instance alone. Set the fields before the first call.
+// Local is a Granter that chooses the endpoint with the fewest requests in
+// flight. It counts only the requests of this instance. Set the exported
+// fields before the first call.
 type Local struct {
 	Configuration *snapshot.Holder[kind.Configuration]
 
@@ -24,8 +25,8 @@
 // Acquire implements Granter.
 func (lo *Local) Acquire(ctx context.Context, re Request) (*Grant, error) {
 	for {
-		en, changed, known := lo.take(re)
-		if !known {
+		en, changed, eligible := lo.take(re)
+		if !eligible {
 			return nil, refusal.New(refusal.NoCapacity, "no endpoint of service "+re.Service+" takes new work")
 		}
 		if changed == nil {
@@ -39,8 +40,10 @@
 	}
 }
 
-// take reserves a place, or returns a channel that is closed when to try again.
-func (lo *Local) take(re Request) (en kind.Endpoint, wait chan struct{}, known bool) {
+// take reserves a slot and returns its endpoint, with a nil channel. If all
+// eligible endpoints are full, it returns a channel that is closed when a slot
+// is released. If no endpoint is eligible for the request, eligible is false.
+func (lo *Local) take(re Request) (en kind.Endpoint, wait chan struct{}, eligible bool) {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	if lo.inFlight == nil {
@@ -58,14 +61,14 @@
 		if !usable {
 			continue
 		}
-		known = true
+		eligible = true
 		free := lo.inFlight[it.Name] < it.Capacity.Sequences
 		if free && (!found || lo.inFlight[it.Name] < lo.inFlight[best.Name]) {
 			best, found = it, true
 		}
 	}
 	if !found {
-		return best, lo.changed, known
+		return best, lo.changed, eligible
 	}
 	lo.inFlight[best.Name]++
 	return best, nil, true
--- a/internal/admission/margin.go
+++ b/internal/admission/margin.go
@@ -1,34 +1,34 @@
 package admission
 
 const (
-	firstRisk = 3.0
-	leastRisk = 0.5
-	mostRisk  = 3.0
-	// raise is added to the risk for each preemption.
-	raise = 0.03
-	// preemptionTarget is the share of the granted requests whose preemption
-	// is accepted.
+	initialRisk = 3.0
+	minRisk     = 0.5
+	maxRisk     = 3.0
+	// preemptionStep is added to the risk for each preemption.
+	preemptionStep = 0.03
+	// preemptionTarget is the accepted share of granted requests that are
+	// preempted.
 	preemptionTarget = 0.0015
-	// unusedTarget is the share of the memory beyond which unused memory
-	// lowers the risk faster, by haste for each whole share.
+	// unusedTarget is the share of unused memory above which the risk
+	// decreases faster, by the factor 1 + unusedGain*(unused-unusedTarget).
 	unusedTarget = 0.15
-	haste        = 60.0
+	unusedGain   = 60.0
 )
 
-// margin is how many standard deviations of the forecast are kept free. It
-// rises with each preemption that an endpoint reports, and falls with each
-// long request that had to wait for its place: at rest, the share of
-// preempted requests is preemptionTarget. It falls faster while much memory is
-// unused.
+// margin controls the safety margin on memory: risk is the number of standard
+// deviations of the forecast that are kept free. It increases with each
+// preemption that an endpoint reports and decreases with each long request
+// that had to wait, so that in equilibrium the share of preempted requests is
+// preemptionTarget. It decreases faster while much memory is unused.
 type margin struct{ risk float64 }
 
 func (ma margin) withPreempted(count int64) margin {
-	ma.risk = min(ma.risk+raise*float64(count), mostRisk)
+	ma.risk = min(ma.risk+preemptionStep*float64(count), maxRisk)
 	return ma
 }
 
 func (ma margin) withGranted(unused float64) margin {
-	speed := 1 + haste*max(unused-unusedTarget, 0)
-	ma.risk = max(ma.risk-raise*preemptionTarget*speed, leastRisk)
+	speed := 1 + unusedGain*max(unused-unusedTarget, 0)
+	ma.risk = max(ma.risk-preemptionStep*preemptionTarget*speed, minRisk)
 	return ma
 }
--- a/internal/admission/sequence.go
+++ b/internal/admission/sequence.go
@@ -6,8 +6,8 @@
 	"filbertstall.example/filbertstall/internal/length"
 )
 
-// refreshTokens is how many tokens a sequence makes between two computations
-// of its forecast.
+// refreshTokens is the number of tokens that a sequence produces between two
+// computations of its forecast.
 const refreshTokens = 24
 
 // sequence is one request in flight.
@@ -15,42 +15,46 @@
 	re    Request
 	ac    *account
 	curve *length.Curve
-	// yielding sequences are preempted first.
-	yielding bool
-	// position is the index in the account's list.
+	// preemptFirst is set for the sequence with preemptFirstPriority.
+	preemptFirst bool
+	// position is the index of the sequence in the list of its account.
 	position int
-	// tokens of the answer exist; base of them existed at the grant.
+	// tokens is the length of the answer so far, and base its length at the
+	// time of the grant.
 	tokens, base int64
-	// counted are the tokens that the curve has been told of.
-	counted int64
-	// moved is when tokens last rose.
-	moved time.Time
-	// charged is what the team was charged at the grant.
+	// observed is the number of tokens already reported to the curve.
+	observed int64
+	// lastProgress is the time at which tokens last increased, zero before
+	// that.
+	lastProgress time.Time
+	// charged is the number of tokens that the team was charged so far.
 	charged float64
-	// shape is the part of the account's forecast that belongs to this
-	// sequence, computed when it had shaped tokens.
-	shape  forecast
-	shaped int64
+	// memoryForecast is the part of the account's totalForecast that belongs
+	// to this sequence. It was computed when the answer had forecastTokens
+	// tokens.
+	memoryForecast forecast
+	forecastTokens int64
 }
 
-// fit computes the forecast of the sequence.
-func (se *sequence) fit(known int64) {
+// computeForecast recomputes memoryForecast. knownLength is the length of the
+// answer, or zero if unknown.
+func (se *sequence) computeForecast(knownLength int64) {
 	prompt, done := float64(se.re.PromptTokens), float64(se.tokens)
-	se.shaped = se.tokens
-	if known > 0 {
-		se.shape = forecastKnown(prompt, done, float64(known))
+	se.forecastTokens = se.tokens
+	if knownLength > 0 {
+		se.memoryForecast = forecastKnown(prompt, done, float64(knownLength))
 		return
 	}
-	se.shape = forecastAnswer(se.curve, prompt, done, float64(se.re.MaxTokens))
+	se.memoryForecast = forecastAnswer(se.curve, prompt, done, float64(se.re.MaxTokens))
 }
 
-// held is the memory that the sequence takes up now.
-func (se *sequence) held() float64 { return float64(se.re.PromptTokens) + float64(se.tokens) }
+// used returns the memory that the sequence uses now, in tokens.
+func (se *sequence) used() float64 { return float64(se.re.PromptTokens) + float64(se.tokens) }
 
-// give marks the sequence with the priority that the engine is told.
-func (se *sequence) give(priority int) {
-	if priority == yieldingPriority {
-		se.yielding = true
-		se.ac.yielding++
+// setPriority records whether the engine preempts the sequence first.
+func (se *sequence) setPriority(priority int) {
+	if priority == preemptFirstPriority {
+		se.preemptFirst = true
+		se.ac.preemptFirst++
 	}
 }
--- a/internal/admission/statistic.go
+++ b/internal/admission/statistics.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Statistics describe the state of an allocator.
+// Statistics describes the state of an allocator.
 type Statistics struct {
 	// Queued and InFlight count requests.
 	Queued   int `json:"queued"`
 	InFlight int `json:"in_flight"`
-	// Risk is the margin in standard deviations of the memory forecast.
+	// Risk is the safety margin in standard deviations of the memory forecast.
 	Risk float64 `json:"risk"`
-	// Unused is the share of the memory of the eligible endpoints that is free.
+	// Unused is the free share of the memory of all eligible endpoints.
 	Unused float64 `json:"unused"`
-	// Cold counts endpoints that are given no more than their cold amount.
+	// Cold counts the endpoints that are limited to their cold capacity.
 	Cold int `json:"cold"`
 }
 
-// Statistics returns the state now.
+// Statistics returns the current state.
 func (al *Allocator) Statistics() Statistics {
 	st := Statistics{InFlight: len(al.running), Risk: al.margin.risk, Unused: al.unused()}
 	for ix := range al.lanes {
@@ -30,27 +30,27 @@
 	return st
 }
 
-// unused returns the share of the memory that is free now.
+// unused returns the share of the memory that is currently free.
 func (al *Allocator) unused() float64 {
-	held, memory := 0.0, 0.0
+	used, memory := 0.0, 0.0
 	for _, ac := range al.order {
-		if ac.Eligible && ac.model() {
-			held += ac.held
+		if ac.Eligible && ac.decodes() {
+			used += ac.used
 			memory += ac.memory()
 		}
 	}
 	if memory <= 0 {
 		return 0
 	}
-	return max(1-held/memory, 0)
+	return max(1-used/memory, 0)
 }
 
-// unusedFor is how long a computed share of unused memory is good.
-const unusedFor = 250 * time.Millisecond
+// unusedMaxAge is how long a computed share of unused memory is reused.
+const unusedMaxAge = 250 * time.Millisecond
 
-// unusedLately returns unused as it was a moment ago.
-func (al *Allocator) unusedLately(now time.Time) float64 {
-	if now.Sub(al.unusedAt) >= unusedFor {
+// cachedUnused returns a value of unused that is less than unusedMaxAge old.
+func (al *Allocator) cachedUnused(now time.Time) float64 {
+	if now.Sub(al.unusedAt) >= unusedMaxAge {
 		al.unusedShare, al.unusedAt = al.unused(), now
 	}
 	return al.unusedShare
--- a/internal/length/curve.go
+++ b/internal/length/curve.go
@@ -3,37 +3,42 @@
 import "math"
 
 const (
-	// leaning is how many answers of the parent curve one's own evidence is
-	// weighed against.
-	leaning = 8
-	// halving is the number of answers after which evidence counts half.
-	halving = 4000
-	// refreshAfter is the number of answers between two recomputations.
-	refreshAfter = 16
-	// The hazard without any evidence is priorShape/(token+priorScale).
+	// parentWeight is the weight of the parent curve's estimate, in answers,
+	// when it is combined with the evidence of the curve itself.
+	parentWeight = 8
+	// halfLifeAnswers is the number of answers after which the weight of old
+	// evidence has halved.
+	halfLifeAnswers = 4000
+	// refreshAnswers is the number of answers between two recomputations of
+	// the derived values. Until refreshAnswers recomputations have been made,
+	// every answer causes one, so that a new curve adapts quickly.
+	refreshAnswers = 16
+	// Without evidence, the hazard at a token position is
+	// priorShape/(token+priorScale).
 	priorShape = 1.4
 	priorScale = 400
 )
 
-// Curve is the estimated distribution of the lengths of one kind of answer.
+// Curve estimates the distribution of answer lengths, in tokens, for one Key.
+// It is a hazard function that is constant within each bucket.
 type Curve struct {
 	parent *Curve
-	// ended and crossed are per bucket: answers that ended in it, and answers
-	// that went on behind it.
-	ended   [bucketCount]float64
-	crossed [bucketCount]float64
-	// share is the chance that an answer that enters the bucket ends in it,
-	// hazard the same for each token.
-	share  [bucketCount]float64
-	hazard [bucketCount]float64
-	// logSurvival is at the bounds of the buckets.
+	// ended and survived count answers per bucket: those that ended in the
+	// bucket and those that continued past its end.
+	ended    [bucketCount]float64
+	survived [bucketCount]float64
+	// endProbability is the probability that an answer that reaches the bucket
+	// ends in it. hazard is the corresponding rate per token.
+	endProbability [bucketCount]float64
+	hazard         [bucketCount]float64
+	// logSurvival is the logarithm of the survival function at bucketBounds.
 	logSurvival [bucketCount + 1]float64
 	mean        float64
-	// weight is how much one new answer counts; it rises instead of lowering
-	// what was counted before.
-	weight  float64
-	pending int
-	version int
+	// weight is what the next answer counts for. It grows with each answer,
+	// which decays older evidence without rescaling every counter.
+	weight            float64
+	endedSinceRefresh int
+	refreshCount      int
 }
 
 func newCurve(parent *Curve) *Curve {
@@ -42,46 +47,47 @@
 	return cu
 }
 
-// Passed tells that tokens from up to to, exclusive, of a running answer exist.
-func (cu *Curve) Passed(from, to int64) {
+// ObserveProgress records that a running answer has grown from the length from
+// to the length to, in tokens.
+func (cu *Curve) ObserveProgress(from, to int64) {
 	for each := cu; each != nil; each = each.parent {
-		each.expose(float64(from), float64(to))
+		each.addSurvived(float64(from), float64(to))
 	}
 }
 
-func (cu *Curve) expose(from, to float64) {
-	for ix := bucketOf(from); ix < bucketCount-1 && bounds[ix+1] <= to; ix++ {
-		if bounds[ix+1] > from {
-			cu.crossed[ix] += cu.weight
+func (cu *Curve) addSurvived(from, to float64) {
+	for ix := bucketOf(from); ix < bucketCount-1 && bucketBounds[ix+1] <= to; ix++ {
+		if bucketBounds[ix+1] > from {
+			cu.survived[ix] += cu.weight
 		}
 	}
 }
 
-// Ended tells that an answer is whole at that length.
-func (cu *Curve) Ended(at int64) {
+// ObserveEnd records that an answer was completed with a length of at tokens.
+func (cu *Curve) ObserveEnd(at int64) {
 	ix := bucketOf(float64(max(at-1, 0)))
 	for each := cu; each != nil; each = each.parent {
 		each.ended[ix] += each.weight
-		each.weight *= decayStep
-		each.pending++
-		if each.weight > rescaleAbove {
+		each.weight *= weightGrowth
+		each.endedSinceRefresh++
+		if each.weight > maxWeight {
 			each.rescale()
 		}
 	}
-	if cu.pending >= refreshAfter || cu.version < refreshAfter {
+	if cu.endedSinceRefresh >= refreshAnswers || cu.refreshCount < refreshAnswers {
 		cu.refreshAll()
 	}
 }
 
-// decayStep is the factor by which a newer answer outweighs the one before.
-var decayStep = math.Exp2(1.0 / halving)
+// weightGrowth is the factor by which each answer outweighs the one before it.
+var weightGrowth = math.Exp2(1.0 / halfLifeAnswers)
 
-const rescaleAbove = 1 << 20
+const maxWeight = 1 << 20
 
 func (cu *Curve) rescale() {
 	for ix := range cu.ended {
 		cu.ended[ix] /= cu.weight
-		cu.crossed[ix] /= cu.weight
+		cu.survived[ix] /= cu.weight
 	}
 	cu.weight = 1
 }
@@ -94,61 +100,63 @@
 }
 
 func (cu *Curve) refresh() {
-	cu.pending = 0
-	cu.version++
+	cu.endedSinceRefresh = 0
+	cu.refreshCount++
 	sum := 0.0
 	for ix := range bucketCount {
-		width := bounds[ix+1] - bounds[ix]
-		cu.share[ix] = cu.estimate(ix, width)
-		cu.hazard[ix] = -math.Log1p(-cu.share[ix]) / width
+		width := bucketBounds[ix+1] - bucketBounds[ix]
+		cu.endProbability[ix] = cu.estimate(ix, width)
+		cu.hazard[ix] = -math.Log1p(-cu.endProbability[ix]) / width
 		cu.logSurvival[ix+1] = cu.logSurvival[ix] - cu.hazard[ix]*width
-		// The integral of the survival over the bucket.
+		// Integral of the survival function over the bucket.
 		sum += (math.Exp(cu.logSurvival[ix]) - math.Exp(cu.logSurvival[ix+1])) / cu.hazard[ix]
 	}
 	cu.mean = sum
 }
 
-// mostShare keeps the hazard finite where all answers end in one bucket.
-const mostShare = 0.995
+// maxEndProbability keeps the hazard finite if all answers end in one bucket.
+const maxEndProbability = 0.995
 
 func (cu *Curve) estimate(ix int, width float64) float64 {
-	ended, crossed := cu.ended[ix]/cu.weight, cu.crossed[ix]/cu.weight
-	share := (ended + leaning*cu.expected(ix, width)) / (ended + crossed + leaning)
-	return min(share, mostShare)
+	ended, survived := cu.ended[ix]/cu.weight, cu.survived[ix]/cu.weight
+	probability := (ended + parentWeight*cu.priorProbability(ix, width)) / (ended + survived + parentWeight)
+	return min(probability, maxEndProbability)
 }
 
-// expected is the share that ends in the bucket without own evidence.
-func (cu *Curve) expected(ix int, width float64) float64 {
+// priorProbability returns the probability that an answer ends in the bucket,
+// without the evidence of the curve itself: that of the parent curve, or the
+// prior hazard for a curve without a parent.
+func (cu *Curve) priorProbability(ix int, width float64) float64 {
 	if cu.parent != nil {
-		return cu.parent.share[ix]
+		return cu.parent.endProbability[ix]
 	}
-	return -math.Expm1(-width * priorShape / ((bounds[ix]+bounds[ix+1])/2 + priorScale))
+	return -math.Expm1(-width * priorShape / ((bucketBounds[ix]+bucketBounds[ix+1])/2 + priorScale))
 }
 
-// Mean returns the mean length in tokens.
+// Mean returns the estimated mean length in tokens.
 func (cu *Curve) Mean() float64 { return cu.mean }
 
-// Beyond returns the chance that an answer that has done tokens makes more
-// than more further ones.
-func (cu *Curve) Beyond(done, more float64) float64 {
-	return math.Exp(cu.log(done+more) - cu.log(done))
+// Survival returns the probability that an answer that already has done tokens
+// grows by more than more further tokens.
+func (cu *Curve) Survival(done, more float64) float64 {
+	return math.Exp(cu.logSurvivalAt(done+more) - cu.logSurvivalAt(done))
 }
 
-func (cu *Curve) log(token float64) float64 {
+func (cu *Curve) logSurvivalAt(token float64) float64 {
 	ix := bucketOf(token)
-	return cu.logSurvival[ix] - cu.hazard[ix]*(token-bounds[ix])
+	return cu.logSurvival[ix] - cu.hazard[ix]*(token-bucketBounds[ix])
 }
 
-// BeyondEach stores Beyond(done, more) for each of the ascending values of
-// more into share.
-func (cu *Curve) BeyondEach(done float64, more, share []float64) {
-	base := cu.log(done)
+// SurvivalEach stores Survival(done, more[no]) in survival[no] for each entry
+// of more, which must be in ascending order. The slices have equal length.
+func (cu *Curve) SurvivalEach(done float64, more, survival []float64) {
+	base := cu.logSurvivalAt(done)
 	ix := bucketOf(done)
 	for no, mo := range more {
 		token := done + mo
-		for ix < bucketCount-1 && token >= bounds[ix+1] {
+		for ix < bucketCount-1 && token >= bucketBounds[ix+1] {
 			ix++
 		}
-		share[no] = math.Exp(cu.logSurvival[ix] - cu.hazard[ix]*(token-bounds[ix]) - base)
+		survival[no] = math.Exp(cu.logSurvival[ix] - cu.hazard[ix]*(token-bucketBounds[ix]) - base)
 	}
 }
--- a/internal/length/curve_test.go
+++ b/internal/length/curve_test.go
@@ -17,54 +17,54 @@
 	RunSpecs(t, "length")
 }
 
-func feed(cu *length.Curve, count int, draw func() float64) {
+func observeAnswers(cu *length.Curve, count int, draw func() float64) {
 	for range count {
-		whole := int64(max(draw(), 1))
-		cu.Passed(0, whole)
-		cu.Ended(whole)
+		tokens := int64(max(draw(), 1))
+		cu.ObserveProgress(0, tokens)
+		cu.ObserveEnd(tokens)
 	}
 }
 
 var _ = Describe("Curve", func() {
 	key := length.Key{Service: "filbert-pool", Team: "tatra", Class: "chapter"}
 
-	It("learns a heavy tail", func() {
+	It("estimates a heavy-tailed distribution", func() {
 		rn := rand.New(rand.NewPCG(1, 1))
 		es := &length.Estimator{}
 		cu := es.Curve(key)
-		feed(cu, 3000, func() float64 { return 500 * math.Exp(rn.NormFloat64()) })
+		observeAnswers(cu, 3000, func() float64 { return 500 * math.Exp(rn.NormFloat64()) })
 		for _, at := range []float64{200, 500, 1500, 4000} {
 			truth := 0.5 * math.Erfc(math.Log(at/500)/math.Sqrt2)
-			Expect(cu.Beyond(0, at)).To(BeNumerically("~", truth, 0.03))
+			Expect(cu.Survival(0, at)).To(BeNumerically("~", truth, 0.03))
 		}
-		Expect(cu.Beyond(1500, 1500)).To(BeNumerically(">", cu.Beyond(100, 1500)))
+		Expect(cu.Survival(1500, 1500)).To(BeNumerically(">", cu.Survival(100, 1500)))
 	})
 
-	It("does not forget the answers that still run", func() {
+	It("counts answers that are still running", func() {
 		es := &length.Estimator{}
 		cu := es.Curve(key)
 		for range 200 {
-			cu.Passed(0, 2000) // running on
-			cu.Passed(0, 50)
-			cu.Ended(50)
+			cu.ObserveProgress(0, 2000) // still running
+			cu.ObserveProgress(0, 50)
+			cu.ObserveEnd(50)
 		}
-		Expect(cu.Beyond(0, 1000)).To(BeNumerically("~", 0.5, 0.1))
+		Expect(cu.Survival(0, 1000)).To(BeNumerically("~", 0.5, 0.1))
 	})
 
-	It("forgets old evidence", func() {
+	It("decays old evidence", func() {
 		es := &length.Estimator{}
 		cu := es.Curve(key)
-		feed(cu, 5000, func() float64 { return 1000 })
-		feed(cu, 20000, func() float64 { return 100 })
+		observeAnswers(cu, 5000, func() float64 { return 1000 })
+		observeAnswers(cu, 20000, func() float64 { return 100 })
 		Expect(cu.Mean()).To(BeNumerically("<", 200))
 	})
 
-	It("leans on the class while a team is new, and bounds the kinds", func() {
+	It("combines a new team with the curve of its class, and bounds the number of curves", func() {
 		es := &length.Estimator{}
-		feed(es.Curve(key), 500, func() float64 { return 40 })
+		observeAnswers(es.Curve(key), 500, func() float64 { return 40 })
 		fresh := es.Curve(length.Key{Service: "filbert-pool", Team: "daegu", Class: "chapter"})
-		fresh.Passed(0, 40)
-		fresh.Ended(40)
+		fresh.ObserveProgress(0, 40)
+		fresh.ObserveEnd(40)
 		Expect(fresh.Mean()).To(BeNumerically("<", 80))
 		for ix := range 10000 {
 			es.Curve(length.Key{Service: "filbert-pool", Team: strconv.Itoa(ix), Class: "x"})
--- a/internal/length/doc.go
+++ b/internal/length/doc.go
@@ -1,21 +1,22 @@
-// Package length estimates how long answers become from the answers seen so
-// far.
+// Package length estimates the length of model answers from the answers
+// observed so far.
 //
 // An Estimator keeps one Curve for each service, team and class of prompt. A
-// curve is a piecewise constant hazard over the token number: for each bucket,
-// the answers that ended in it over those that entered it. Running answers
-// count for each bucket that they left behind, so that the long ones are not
-// missed because they have not ended yet. A curve with little evidence leans on that
-// of the class over all teams, and that one on the whole service. Old evidence
-// decays.
+// Curve is a hazard function that is constant within buckets of token
+// positions: the hazard of a bucket is the share of the answers reaching it
+// that end in it. A running answer counts as survived in every bucket that it
+// has passed, because ignoring it until it ends would bias the estimate
+// towards short answers. A curve with little evidence is combined with its
+// parent: the curve of the class over all teams, whose own parent is the curve
+// of the service. Old evidence decays exponentially.
 //
 // # Usage
 //
 //	es := &length.Estimator{}
 //	cu := es.Curve(length.Key{Service: "filbert-pool", Team: "tatra", Class: "p9"})
-//	cu.Passed(0, 40)        // as tokens arrive
-//	cu.Ended(40)            // when the answer is whole
-//	share := cu.Beyond(40, 100) // P(length > 140 | length > 40)
+//	cu.ObserveProgress(0, 40)       // as tokens arrive
+//	cu.ObserveEnd(40)               // when the answer is complete
+//	share := cu.Survival(40, 100)   // P(length > 140 | length > 40)
 //
 // An Estimator is not safe for concurrent use.
 package length
--- a/internal/length/estimator.go
+++ b/internal/length/estimator.go
@@ -1,23 +1,24 @@
 package length
 
-// Key names a kind of answer.
+// Key identifies a group of answers that share a length distribution. An empty
+// Team or Class stands for all of them.
 type Key struct {
 	Service string
 	Team    string
-	// Class groups prompts with a similar length of answer.
+	// Class groups prompts whose answers have similar lengths.
 	Class string
 }
 
-// maxCurves bounds the memory that callers can take up with new classes.
+// maxCurves bounds the memory that callers can occupy by sending new classes.
 const maxCurves = 4096
 
-// Estimator keeps the curves. The zero value is ready for use.
+// Estimator holds a Curve for each Key. The zero value is ready for use.
 type Estimator struct {
 	curves map[Key]*Curve
 }
 
-// Curve returns the curve of a kind of answer. Kinds beyond the bound share
-// the curve of their service.
+// Curve returns the curve of the key and creates it if it does not exist. Once
+// maxCurves curves exist, it returns the nearest existing parent instead.
 func (es *Estimator) Curve(ke Key) *Curve {
 	if cu, found := es.curves[ke]; found {
 		return cu
@@ -40,5 +41,5 @@
 	return cu
 }
 
-// Len returns the number of curves.
+// Len returns the number of curves, parents included.
 func (es *Estimator) Len() int { return len(es.curves) }
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// byDeadline is a heap of one team's items.
+// byDeadline is a heap of the items of one team, ordered by deadline, arrival
+// and ID.
 type byDeadline[T any] []*Item[T]
 
 // Len implements heap.Interface.
@@ -23,7 +24,8 @@
 	return bd[ix].ID < bd[iy].ID
 }
 
-// sortKey puts the zero time last.
+// sortKey returns a time as an integer for comparison; the zero time sorts
+// last.
 func sortKey(ti time.Time) int64 {
 	if ti.IsZero() {
 		return math.MaxInt64
@@ -34,13 +36,13 @@
 // Swap implements heap.Interface.
 func (bd byDeadline[T]) Swap(ix, iy int) {
 	bd[ix], bd[iy] = bd[iy], bd[ix]
-	bd[ix].position, bd[iy].position = ix, iy
+	bd[ix].teamPosition, bd[iy].teamPosition = ix, iy
 }
 
 // Push implements heap.Interface.
 func (bd *byDeadline[T]) Push(value any) {
 	it := value.(*Item[T])
-	it.position = len(*bd)
+	it.teamPosition = len(*bd)
 	*bd = append(*bd, it)
 }
 
@@ -53,39 +55,39 @@
 	return it
 }
 
-// byLimit is a heap of all items.
-type byLimit[T any] []*Item[T]
+// byExpiry is a heap of all items of a queue, ordered by ExpiresAt and ID.
+type byExpiry[T any] []*Item[T]
 
 // Len implements heap.Interface.
-func (bl byLimit[T]) Len() int { return len(bl) }
+func (be byExpiry[T]) Len() int { return len(be) }
 
 // Less implements heap.Interface.
-func (bl byLimit[T]) Less(ix, iy int) bool {
-	le, ri := sortKey(bl[ix].Limit), sortKey(bl[iy].Limit)
+func (be byExpiry[T]) Less(ix, iy int) bool {
+	le, ri := sortKey(be[ix].ExpiresAt), sortKey(be[iy].ExpiresAt)
 	if le != ri {
 		return le < ri
 	}
-	return bl[ix].ID < bl[iy].ID
+	return be[ix].ID < be[iy].ID
 }
 
 // Swap implements heap.Interface.
-func (bl byLimit[T]) Swap(ix, iy int) {
-	bl[ix], bl[iy] = bl[iy], bl[ix]
-	bl[ix].limitPosition, bl[iy].limitPosition = ix, iy
+func (be byExpiry[T]) Swap(ix, iy int) {
+	be[ix], be[iy] = be[iy], be[ix]
+	be[ix].expiryPosition, be[iy].expiryPosition = ix, iy
 }
 
 // Push implements heap.Interface.
-func (bl *byLimit[T]) Push(value any) {
+func (be *byExpiry[T]) Push(value any) {
 	it := value.(*Item[T])
-	it.limitPosition = len(*bl)
-	*bl = append(*bl, it)
+	it.expiryPosition = len(*be)
+	*be = append(*be, it)
 }
 
 // Pop implements heap.Interface.
-func (bl *byLimit[T]) Pop() any {
-	last := len(*bl) - 1
-	it := (*bl)[last]
-	(*bl)[last] = nil
-	*bl = (*bl)[:last]
+func (be *byExpiry[T]) Pop() any {
+	last := len(*be) - 1
+	it := (*be)[last]
+	(*be)[last] = nil
+	*be = (*be)[:last]
 	return it
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -5,46 +5,55 @@
 	"time"
 )
 
-// Item is one waiting request.
+// Item is a queued request.
 type Item[T any] struct {
 	ID   string
 	Team string
-	// Weight is the team's share, at least 1.
+	// Weight is the share of the team relative to other teams. Values below 1
+	// count as 1. The weight of the latest item applies to the whole team.
 	Weight int
-	// Deadline orders the items of a team; zero is the last.
+	// Deadline orders the items of a team, earliest first. Items with a zero
+	// Deadline come last.
 	Deadline time.Time
 	// Arrived orders items with equal deadlines.
 	Arrived time.Time
-	// Limit is when the item may wait no longer; zero is never.
-	Limit time.Time
-	Value T
-
-	// position is in the heap of the team, limitPosition in that of the limits.
-	position, limitPosition int
+	// ExpiresAt is the time from which Expire removes the item. An item with a
+	// zero ExpiresAt does not expire.
+	ExpiresAt time.Time
+	Value     T
+
+	// teamPosition and expiryPosition are the indexes of the item in the heap
+	// of its team and in the expiry heap.
+	teamPosition, expiryPosition int
 }
 
-// Queue holds items. The zero value is ready for use.
+// Queue is a weighted fair queue. The zero value is ready for use.
 type Queue[T any] struct {
 	teams map[string]*team[T]
-	// backlog has the teams with items; their order breaks ties.
-	backlog []*team[T]
-	items   map[string]*Item[T]
-	limits  byLimit[T]
-	// level is the least charge of the team that was served last.
-	level float64
+	// backlog lists the teams that have items. Of teams with equal
+	// normalizedTokens, the first in the list is served first.
+	backlog  []*team[T]
+	items    map[string]*Item[T]
+	expiries byExpiry[T]
+	// virtualTime is the highest normalizedTokens at which a team was served
+	// so far. Teams that become active start from it.
+	virtualTime float64
 }
 
 type team[T any] struct {
-	name    string
-	weight  float64
-	charged float64
-	items   byDeadline[T]
+	name   string
+	weight float64
+	// normalizedTokens is the sum of the charged tokens, each divided by the
+	// weight that applied when they were charged.
+	normalizedTokens float64
+	items            byDeadline[T]
 }
 
-// Len returns the number of items.
+// Len returns the number of queued items.
 func (qu *Queue[T]) Len() int { return len(qu.items) }
 
-// Push adds an item. It returns false if an item of that id waits already.
+// Push adds an item. It returns false and changes nothing if an item with the
+// same ID is already queued.
 func (qu *Queue[T]) Push(it Item[T]) bool {
 	if qu.items == nil {
 		qu.items = make(map[string]*Item[T])
@@ -55,37 +64,38 @@
 	}
 	te := qu.team(it.Team, it.Weight)
 	if len(te.items) == 0 {
-		te.charged = max(te.charged, qu.level)
+		te.normalizedTokens = max(te.normalizedTokens, qu.virtualTime)
 		qu.backlog = append(qu.backlog, te)
 	}
 	qu.items[it.ID] = &it
 	heap.Push(&te.items, &it)
-	heap.Push(&qu.limits, &it)
+	heap.Push(&qu.expiries, &it)
 	return true
 }
 
 func (qu *Queue[T]) team(name string, weight int) *team[T] {
 	te, found := qu.teams[name]
 	if !found {
-		te = &team[T]{name: name, charged: qu.level}
+		te = &team[T]{name: name, normalizedTokens: qu.virtualTime}
 		qu.teams[name] = te
 	}
 	te.weight = float64(max(weight, 1))
 	return te
 }
 
-// next returns the backlogged team that was charged least.
+// next returns the team in the backlog with the least normalizedTokens, or nil
+// if the queue is empty.
 func (qu *Queue[T]) next() *team[T] {
 	var best *team[T]
 	for _, te := range qu.backlog {
-		if best == nil || te.charged < best.charged {
+		if best == nil || te.normalizedTokens < best.normalizedTokens {
 			best = te
 		}
 	}
 	return best
 }
 
-// Head returns the item that is next.
+// Head returns the next item without removing it.
 func (qu *Queue[T]) Head() (*Item[T], bool) {
 	te := qu.next()
 	if te == nil {
@@ -94,26 +104,27 @@
 	return te.items[0], true
 }
 
-// Pop takes the head out and charges its team.
+// Pop removes the head and charges its team the expected number of tokens. It
+// does nothing on an empty queue.
 func (qu *Queue[T]) Pop(tokens float64) {
 	te := qu.next()
 	if te == nil {
 		return
 	}
-	qu.level = max(qu.level, te.charged)
-	te.charged += tokens / te.weight
+	qu.virtualTime = max(qu.virtualTime, te.normalizedTokens)
+	te.normalizedTokens += tokens / te.weight
 	qu.remove(te, te.items[0])
 }
 
-// Charge adds to what the team has used; tokens is negative if it was charged
-// too much before.
+// Charge adds tokens to the usage of a team. A negative value corrects an
+// earlier charge that was too high.
 func (qu *Queue[T]) Charge(name string, tokens float64) {
 	if te, found := qu.teams[name]; found {
-		te.charged += tokens / te.weight
+		te.normalizedTokens += tokens / te.weight
 	}
 }
 
-// Remove takes an item out.
+// Remove removes the item with the given ID, at any position, and returns it.
 func (qu *Queue[T]) Remove(id string) (Item[T], bool) {
 	it, found := qu.items[id]
 	if !found {
@@ -124,8 +135,8 @@
 }
 
 func (qu *Queue[T]) remove(te *team[T], it *Item[T]) {
-	heap.Remove(&te.items, it.position)
-	heap.Remove(&qu.limits, it.limitPosition)
+	heap.Remove(&te.items, it.teamPosition)
+	heap.Remove(&qu.expiries, it.expiryPosition)
 	delete(qu.items, it.ID)
 	if len(te.items) > 0 {
 		return
@@ -138,7 +149,7 @@
 	}
 }
 
-// TeamLen returns how many items of the team wait.
+// TeamLen returns the number of queued items of the team.
 func (qu *Queue[T]) TeamLen(name string) int {
 	if te, found := qu.teams[name]; found {
 		return len(te.items)
@@ -146,8 +157,9 @@
 	return 0
 }
 
-// Ahead returns how many requests are served before a new one of the team, as
-// if each team got its share from now on.
+// Ahead estimates how many items are served before a new item of the team,
+// assuming that each team in the backlog is served in proportion to its weight
+// from now on.
 func (qu *Queue[T]) Ahead(name string, weight int) float64 {
 	total := float64(max(weight, 1))
 	for _, te := range qu.backlog {
@@ -159,19 +171,21 @@
 	return min(float64(qu.Len()), (own+1)*total/float64(max(weight, 1))-1)
 }
 
-// NextLimit returns the earliest limit of an item.
-func (qu *Queue[T]) NextLimit() (time.Time, bool) {
-	if len(qu.limits) == 0 || qu.limits[0].Limit.IsZero() {
+// NextExpiry returns the earliest ExpiresAt, or false if no queued item
+// expires.
+func (qu *Queue[T]) NextExpiry() (time.Time, bool) {
+	if len(qu.expiries) == 0 || qu.expiries[0].ExpiresAt.IsZero() {
 		return time.Time{}, false
 	}
-	return qu.limits[0].Limit, true
+	return qu.expiries[0].ExpiresAt, true
 }
 
-// Expire takes out and returns an item whose limit has come.
+// Expire removes and returns one item whose ExpiresAt has been reached.
+// Callers repeat it until it returns false.
 func (qu *Queue[T]) Expire(now time.Time) (Item[T], bool) {
-	at, found := qu.NextLimit()
+	at, found := qu.NextExpiry()
 	if !found || now.Before(at) {
 		return Item[T]{}, false
 	}
-	return qu.Remove(qu.limits[0].ID)
+	return qu.Remove(qu.expiries[0].ID)
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -30,7 +30,7 @@
 }
 
 var _ = Describe("Queue", func() {
-	It("shares by the tokens truly used, over the weights", func() {
+	It("shares the service by actual tokens in proportion to the weights", func() {
 		qu := &queue.Queue[int]{}
 		served := map[string]float64{}
 		for ix := range 3000 {
@@ -47,7 +47,7 @@
 		Expect(served["small"] / served["large"]).To(BeNumerically("~", 2, 0.05))
 	})
 
-	It("lets a team that was away save up no credit", func() {
+	It("gives an idle team no credit", func() {
 		qu := &queue.Queue[int]{}
 		for ix := range 100 {
 			qu.Push(item("a"+strconv.Itoa(ix), "busy", 1))
@@ -67,7 +67,7 @@
 		Expect(served["busy"]).To(BeNumerically("~", 10, 1))
 	})
 
-	It("orders a team by deadline", func() {
+	It("orders the items of a team by deadline", func() {
 		qu := &queue.Queue[int]{}
 		for _, seconds := range []int{5, 1, 3} {
 			it := item(strconv.Itoa(seconds), "tatra", 1)
@@ -83,7 +83,7 @@
 		Expect(order).To(Equal([]string{"1", "3", "5"}))
 	})
 
-	It("keeps its items under any order of calls", func() {
+	It("agrees with a model under random sequences of calls", func() {
 		rapid.Check(GinkgoT(), func(rt *rapid.T) {
 			qu := &queue.Queue[int]{}
 			model := map[string]time.Time{}
@@ -93,18 +93,18 @@
 				switch rapid.IntRange(0, 3).Draw(rt, "call") {
 				case 0:
 					it := item(id, "team"+strconv.Itoa(step%3), 1+step%2)
-					it.Limit = now.Add(time.Duration(rapid.IntRange(1, 9).Draw(rt, "limit")) * time.Second)
-					_, waits := model[id]
-					if qu.Push(it) == waits {
-						rt.Fatalf("push of %s while waiting is %v", id, waits)
+					it.ExpiresAt = now.Add(time.Duration(rapid.IntRange(1, 9).Draw(rt, "lifetime")) * time.Second)
+					_, queued := model[id]
+					if qu.Push(it) == queued {
+						rt.Fatalf("Push(%s) returned %v, want the opposite", id, queued)
 					}
-					if !waits {
-						model[id] = it.Limit
+					if !queued {
+						model[id] = it.ExpiresAt
 					}
 				case 1:
-					_, waits := model[id]
-					if _, found := qu.Remove(id); found != waits {
-						rt.Fatalf("remove of %s returned %v", id, found)
+					_, queued := model[id]
+					if _, found := qu.Remove(id); found != queued {
+						rt.Fatalf("Remove(%s) returned found=%v, want the opposite", id, found)
 					}
 					delete(model, id)
 				case 2:
@@ -116,13 +116,13 @@
 					now = now.Add(2 * time.Second)
 					for it, found := qu.Expire(now); found; it, found = qu.Expire(now) {
 						if model[it.ID].After(now) {
-							rt.Fatalf("%s expired early", it.ID)
+							rt.Fatalf("item %s expired before its ExpiresAt", it.ID)
 						}
 						delete(model, it.ID)
 					}
 				}
 				if qu.Len() != len(model) {
-					rt.Fatalf("%d items wait, expected %d", qu.Len(), len(model))
+					rt.Fatalf("%d items are queued, want %d", qu.Len(), len(model))
 				}
 			}
 		})
