--- a/internal/admission/allocator.go
+++ b/internal/admission/allocator.go
@@ -37,7 +37,10 @@
 
 	lengths  length.Estimator
 	accounts map[string]*account
-	order    []*account
+	// order lists the accounts in the order of their creation.
+	order []*account
+	// indexes holds the accounts by Candidate.Distance, and running the
+	// requests in flight by ID.
 	indexes  [distanceCount]index
 	running  map[string]*sequence
 	lanes    [laneCount]lane
--- a/internal/admission/local.go
+++ b/internal/admission/local.go
@@ -17,9 +17,11 @@
 type Local struct {
 	Configuration *snapshot.Holder[kind.Configuration]
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// inFlight counts the granted slots by the name of the endpoint.
 	inFlight map[string]int
-	changed  chan struct{}
+	// changed is closed and replaced at each Release.
+	changed chan struct{}
 }
 
 // Acquire implements Granter.
