--- a/internal/allocation/acquire.go
+++ b/internal/allocation/acquire.go
@@ -15,38 +15,44 @@
 )
 
 const (
-	// spillAfter is the wait in the own zone before other zones are asked.
-	spillAfter = 100 * time.Millisecond
-	// fullPause is how long a zone without room is not asked again.
-	fullPause = 200 * time.Millisecond
-	// unheldPatience bounds the wait while no holder is reached.
-	unheldPatience = 5 * time.Second
-	// unheldPause is the pause between looks for a holder.
-	unheldPause = 50 * time.Millisecond
-	// callMargin is added to a holder's wait for the way there and back.
+	// spilloverAfter is the time that a request waits in its own zone before
+	// other zones are asked.
+	spilloverAfter = 100 * time.Millisecond
+	// fullZoneBackoff is the time for which a zone that had no free place is
+	// not asked again.
+	fullZoneBackoff = 200 * time.Millisecond
+	// noHolderTimeout limits how long a request waits while no holder can be
+	// reached.
+	noHolderTimeout = 5 * time.Second
+	// noHolderRetryInterval is the time between two attempts to reach a
+	// holder.
+	noHolderRetryInterval = 50 * time.Millisecond
+	// callMargin is added to the holder's wait to cover the round trip.
 	callMargin = 500 * time.Millisecond
-	// grantLifetime is how old a grant may be when it is used. An older one
-	// was held up by a pause, and the holder may have counted it as lost.
-	grantLifetime = 5 * time.Second
+	// maxGrantAge is the age up to which a grant may be used. An older one was
+	// delayed, for example because this process was paused, and the holder may
+	// already have treated it as lost.
+	maxGrantAge = 5 * time.Second
 )
 
-// attempt is one Acquire under way.
+// attempt is the state of one Acquire call.
 type attempt struct {
-	re      admission.Request
-	key     string
-	suspect bool
-	began   time.Time
-	order   []Group
-	// asked are the groups whose holders may know the key.
+	re         admission.Request
+	key        string
+	suspect    bool
+	began      time.Time
+	groupOrder []Group
+	// asked contains the groups whose holders may know the key.
 	asked map[Group]bool
-	// home is the group where the request waits, if queued.
-	home   Group
-	queued bool
-	wait   time.Duration
-	last   *refusal.Error
+	// queueGroup is the group in which the request is queued, if queued is
+	// true.
+	queueGroup  Group
+	queued      bool
+	wait        time.Duration
+	lastRefusal *refusal.Error
 }
 
-// Acquire implements admission.Granter.
+// Acquire implements admission.Granter. Its errors are of type *refusal.Error.
 func (gt *Granter) Acquire(ctx context.Context, re admission.Request) (*admission.Grant, error) {
 	gt.prepare()
 	cf := gt.Configuration.Load()
@@ -56,14 +62,14 @@
 	if re.Only != "" {
 		return gt.resume(cf, re)
 	}
-	suspect, er := gt.suspect(ctx, re)
+	suspect, er := gt.checkSuspect(ctx, re)
 	if er != nil {
 		gt.Explain.Add(re.ID, explain.Event{Step: explain.Refused, Reason: er.Error()})
 		return nil, er
 	}
-	at := &attempt{re: re, key: gt.newKey(), suspect: suspect, began: gt.Clock.Now(), wait: spillAfter, asked: make(map[Group]bool)}
-	gr, er := gt.find(ctx, at)
-	gt.leaveAll(at)
+	at := &attempt{re: re, key: gt.newKey(), suspect: suspect, began: gt.Clock.Now(), wait: spilloverAfter, asked: make(map[Group]bool)}
+	gr, er := gt.findPlace(ctx, at)
+	gt.withdrawAll(at)
 	if er != nil {
 		gt.Explain.Add(re.ID, explain.Event{Step: explain.Refused, Reason: er.Error(), WaitedMS: gt.Clock.Since(at.began).Milliseconds()})
 		return nil, er
@@ -71,58 +77,62 @@
 	return gr, nil
 }
 
-// leaveAll gives up the key with every holder that may know it.
-func (gt *Granter) leaveAll(at *attempt) {
+// withdrawAll withdraws the key from all groups whose holders may know it.
+func (gt *Granter) withdrawAll(at *attempt) {
 	for gr := range at.asked {
-		gt.link(gr).leave(at.key)
+		gt.link(gr).withdraw(at.key)
 	}
 	clear(at.asked)
 }
 
-// resume takes the place of a generation that runs already.
+// resume registers the place of a generation that is already running at the
+// endpoint re.Only. It does not ask the holder, which learns of the place from
+// the next sync.
 func (gt *Granter) resume(cf *kind.Configuration, re admission.Request) (*admission.Grant, error) {
 	en, found := cf.Endpoint(re.Only)
 	if !found {
 		return nil, refusal.New(refusal.NoCapacity, "endpoint "+re.Only+" is not configured any more")
 	}
 	li := gt.link(Group{Zone: en.Zone, Service: en.Service})
-	pl := &place{key: gt.newKey(), re: re, endpoint: en.Name, url: en.URL, whole: true, tokens: new(atomic.Int64)}
+	pl := &place{key: gt.newKey(), re: re, endpoint: en.Name, url: en.URL, sendRequest: true, tokens: new(atomic.Int64)}
 	pl.tokens.Store(re.DoneTokens)
 	li.mu.Lock()
 	li.places[pl.key] = pl
 	li.mu.Unlock()
-	return gt.grant(li, pl, en, 0, Resumed), nil
+	return gt.registerGrant(li, pl, en, 0, Resumed), nil
 }
 
-// find asks holders in turn until one grants a place or the request ends.
-func (gt *Granter) find(ctx context.Context, at *attempt) (*admission.Grant, *refusal.Error) {
+// findPlace asks the holders in turn until one of them grants a place, the
+// request is refused, or ctx ends.
+func (gt *Granter) findPlace(ctx context.Context, at *attempt) (*admission.Grant, *refusal.Error) {
 	for {
-		if er := ended(ctx); er != nil {
+		if er := contextRefusal(ctx); er != nil {
 			return nil, er
 		}
 		cf := gt.Configuration.Load()
-		at.order = gt.order(cf, at)
-		if len(at.order) == 0 {
+		at.groupOrder = gt.groupOrder(cf, at)
+		if len(at.groupOrder) == 0 {
 			return nil, refusal.New(refusal.NoCapacity, "no endpoint of service "+at.re.Service+" takes new work")
 		}
-		at.last = nil
-		if gr := gt.round(ctx, at, cf); gr != nil {
+		at.lastRefusal = nil
+		if gr := gt.askAll(ctx, at, cf); gr != nil {
 			return gr, nil
 		}
 		if at.queued || ctx.Err() != nil {
 			continue
 		}
-		if at.last != nil {
-			return nil, at.last
+		if at.lastRefusal != nil {
+			return nil, at.lastRefusal
 		}
-		if gt.Clock.Since(at.began) > unheldPatience {
+		if gt.Clock.Since(at.began) > noHolderTimeout {
 			return nil, refusal.New(refusal.NoCapacity, "no allocator is reached and this instance's share is in use")
 		}
-		gt.pause(ctx, unheldPause)
+		gt.sleep(ctx, noHolderRetryInterval)
 	}
 }
 
-func ended(ctx context.Context) *refusal.Error {
+// contextRefusal returns the refusal for a context that has ended, or nil.
+func contextRefusal(ctx context.Context) *refusal.Error {
 	switch err := ctx.Err(); {
 	case err == nil:
 		return nil
@@ -133,15 +143,17 @@
 	}
 }
 
-func (gt *Granter) pause(ctx context.Context, du time.Duration) {
+func (gt *Granter) sleep(ctx context.Context, du time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-gt.Clock.After(du):
 	}
 }
 
-// order returns the groups to ask: the own zone, then its region, then others.
-func (gt *Granter) order(cf *kind.Configuration, at *attempt) []Group {
+// groupOrder returns the groups to ask: first this instance's zone, then the
+// other zones of its region, then all others. Zones of the same rank are in
+// rendezvous order, so that instances differ in which one they ask first.
+func (gt *Granter) groupOrder(cf *kind.Configuration, at *attempt) []Group {
 	rank := make(map[Group]int)
 	var list []Group
 	own, _ := cf.Zone(gt.Zone)
@@ -165,41 +177,43 @@
 		if rank[le] != rank[ri] {
 			return rank[le] - rank[ri]
 		}
-		return cmp.Compare(rendezvous(le.Zone, gt.Instance), rendezvous(ri.Zone, gt.Instance))
+		return cmp.Compare(rendezvousScore(le.Zone, gt.Instance), rendezvousScore(ri.Zone, gt.Instance))
 	})
 	return list
 }
 
+// usable reports whether the configuration and the request allow the endpoint.
 func usable(cf *kind.Configuration, en kind.Endpoint, re admission.Request) bool {
 	return cf.Eligible(en) && kind.Reachable(en.Half, re.Half) && !slices.Contains(re.Exclude, en.Name)
 }
 
-// round asks each group once. The first that answers queues the request; the
-// others are asked for a place that is free now.
-func (gt *Granter) round(ctx context.Context, at *attempt, cf *kind.Configuration) *admission.Grant {
+// askAll asks each group once. The request is queued at the first holder that
+// has no free place. The other holders are only asked for a place that is free
+// now. Where no holder can be reached, askAll tries this instance's own share.
+func (gt *Granter) askAll(ctx context.Context, at *attempt, cf *kind.Configuration) *admission.Grant {
 	queued := false
-	for _, gr := range at.order {
+	for _, gr := range at.groupOrder {
 		if ctx.Err() != nil {
 			break
 		}
-		if queued && gt.full(gr) {
+		if queued && gt.recentlyFull(gr) {
 			continue
 		}
 		reply, err := gt.ask(ctx, at, gr, queued)
 		switch {
 		case err != nil:
-			if pl := gt.alone(cf, gr, at); pl != nil {
+			if pl := gt.acquireFromShare(cf, gr, at); pl != nil {
 				return pl
 			}
 		case reply.Reason != "":
-			gt.refused(at, gr, &reply)
+			gt.noteRefusal(at, gr, &reply)
 		case reply.Pending:
 			if !queued {
-				queued, at.home, at.wait = true, gr, maxWait
+				queued, at.queueGroup, at.wait = true, gr, maxWait
 				gt.noteQueued(at, gr)
 			}
 		default:
-			if pl := gt.accepted(at, gr, &reply); pl != nil {
+			if pl := gt.acceptGrant(at, gr, &reply); pl != nil {
 				return pl
 			}
 		}
@@ -208,46 +222,50 @@
 	return nil
 }
 
-// noteQueued explains the wait once.
+// noteQueued records that the request waits, once per request.
 func (gt *Granter) noteQueued(at *attempt, gr Group) {
 	if !at.queued {
 		gt.Explain.Add(at.re.ID, explain.Event{Step: explain.Queued, Zone: gr.Zone, Reason: "no room yet"})
 	}
 }
 
-// refused keeps a refusal for the caller. A zone without room is not final.
-func (gt *Granter) refused(at *attempt, gr Group, reply *AcquireReply) {
+// noteRefusal keeps the first refusal for the caller. A zone without a free
+// place is remembered for fullZoneBackoff, and the other zones are still
+// asked.
+func (gt *Granter) noteRefusal(at *attempt, gr Group, reply *AcquireReply) {
 	er := reply.refusal()
 	if er.Reason == refusal.NoCapacity {
 		gt.mu.Lock()
 		gt.refusedAt[gr] = gt.Clock.Now()
 		gt.mu.Unlock()
 	}
-	if at.last == nil {
-		at.last = er
+	if at.lastRefusal == nil {
+		at.lastRefusal = er
 	}
 }
 
-func (gt *Granter) full(gr Group) bool {
+// recentlyFull reports whether the group refused a request for lack of
+// capacity within fullZoneBackoff.
+func (gt *Granter) recentlyFull(gr Group) bool {
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
-	return gt.Clock.Since(gt.refusedAt[gr]) < fullPause
+	return gt.Clock.Since(gt.refusedAt[gr]) < fullZoneBackoff
 }
 
-// ask asks the holder of a group once.
+// ask makes one Acquire call to the holder of a group.
 func (gt *Granter) ask(ctx context.Context, at *attempt, gr Group, noWait bool) (AcquireReply, error) {
 	var reply AcquireReply
 	address, found := gt.holderOf(gr)
 	if !found {
-		return reply, gr.fail("acquire", NotHolder, nil)
+		return reply, gr.newError("acquire", NotHolder, nil)
 	}
 	li := gt.link(gr)
-	if !li.own() {
-		li.allow(gt.Clock.Now())
+	if !li.hasShare() {
+		li.allowMessages(gt.Clock.Now())
 	}
-	sequence, may := li.begin(gt.Clock.Now(), at.key)
-	if !may {
-		return reply, gr.fail("acquire", NoAnswer, errors.New("cut off"))
+	sequence, allowed := li.addWaiting(gt.Clock.Now(), at.key)
+	if !allowed {
+		return reply, gr.newError("acquire", NoAnswer, errors.New("disconnected from the lease holder; waiting for a probe to be answered"))
 	}
 	at.asked[gr] = true
 	args := AcquireArgs{
@@ -262,24 +280,25 @@
 	ctx, cancel := context.WithTimeout(ctx, args.Wait+callMargin)
 	defer cancel()
 	if err := gt.call(ctx, address, "Acquire", &args, &reply); err != nil {
-		return reply, gr.fail("acquire", NoAnswer, err)
+		return reply, gr.newError("acquire", NoAnswer, err)
 	}
 	if reply.Failure != "" {
-		return reply, gr.fail("acquire", reply.Failure, nil)
+		return reply, gr.newError("acquire", reply.Failure, nil)
 	}
-	if gt.Clock.Since(begun) > grantLifetime && reply.Endpoint != "" {
-		return reply, gr.fail("acquire", NoAnswer, errors.New("the grant is too old"))
+	if gt.Clock.Since(begun) > maxGrantAge && reply.Endpoint != "" {
+		return reply, gr.newError("acquire", NoAnswer, errors.New("the reply with the grant took longer than 5 s"))
 	}
 	return reply, nil
 }
 
-// accepted turns a holder's grant into a place, unless the configuration in
-// force here does not allow it any more.
-func (gt *Granter) accepted(at *attempt, gr Group, reply *AcquireReply) *admission.Grant {
+// acceptGrant turns a holder's grant into a place. It returns nil if the
+// configuration of this instance no longer allows the endpoint, or if the link
+// does not accept the grant.
+func (gt *Granter) acceptGrant(at *attempt, gr Group, reply *AcquireReply) *admission.Grant {
 	cf := gt.Configuration.Load()
 	en, found := cf.Endpoint(reply.Endpoint)
 	if !found || !cf.Eligible(en) {
-		gt.leaveAll(at)
+		gt.withdrawAll(at)
 		at.key = gt.newKey()
 		return nil
 	}
@@ -293,15 +312,16 @@
 	if gr.Zone != gt.Zone {
 		source = OtherZone
 	}
-	return gt.grant(li, pl, en, reply.Priority, source)
+	return gt.registerGrant(li, pl, en, reply.Priority, source)
 }
 
-func (gt *Granter) grant(li *link, pl *place, en kind.Endpoint, priority int, source Source) *admission.Grant {
+// registerGrant returns the grant for a place and remembers it for Release.
+func (gt *Granter) registerGrant(li *link, pl *place, en kind.Endpoint, priority int, source Source) *admission.Grant {
 	gr := &admission.Grant{Request: pl.re, Endpoint: en, Priority: priority, Tokens: pl.tokens}
 	gt.mu.Lock()
-	gt.places[gr] = &granted{li: li, pl: pl}
+	gt.places[gr] = &grantedPlace{li: li, pl: pl}
 	gt.mu.Unlock()
-	gt.granted[source].Inc(1)
+	gt.grantCounters[source].Inc(1)
 	gt.Explain.Add(pl.re.ID, explain.Event{Step: explain.Granted, Zone: en.Zone, Endpoint: en.Name, Reason: string(source)})
 	return gr
 }
--- a/internal/allocation/allocation_test.go
+++ b/internal/allocation/allocation_test.go
@@ -19,10 +19,12 @@
 	"filbertstall.example/filbertstall/internal/refusal"
 )
 
-// historyChecks keeps the test to seconds; -rapid.checks asks for more.
+// historyChecks limits the test to a few seconds. The flag -rapid.checks
+// overrides it.
 const historyChecks = "8"
 
-// event is one step of a random history.
+// event is one step of a random history: what happens, to which instance or
+// endpoint, and how many milliseconds of load follow.
 type event struct {
 	Kind  int
 	Index int
@@ -32,7 +34,7 @@
 
 const (
 	eventRequests = iota
-	eventCut
+	eventInterruptPath
 	eventOffline
 	eventPlatform
 	eventPause
@@ -45,6 +47,7 @@
 	eventKinds
 )
 
+// events generates random histories of 8 to 20 events.
 func events() *rapid.Generator[[]event] {
 	one := rapid.Custom(func(t *rapid.T) event {
 		return event{
@@ -55,16 +58,18 @@
 	return rapid.SliceOfN(one, 8, 20)
 }
 
+// apply carries out an event. Other selects the second instance, the fault or
+// the length of a pause.
 func (wo *world) apply(ev event) {
 	in, other := wo.instances[ev.Index%len(wo.instances)], wo.instances[ev.Other%len(wo.instances)]
 	wo.mu.Lock()
 	switch ev.Kind {
-	case eventCut:
-		wo.cut[link2(in.name, other.name)] = !wo.cut[link2(in.name, other.name)]
+	case eventInterruptPath:
+		wo.interrupted[pathKey(in.name, other.name)] = !wo.interrupted[pathKey(in.name, other.name)]
 	case eventIsolate:
 		wo.offline[in.name] = ev.Other%2 == 0
 		for _, it := range wo.instances {
-			wo.cut[link2(in.name, it.name)] = it != in
+			wo.interrupted[pathKey(in.name, it.name)] = it != in
 		}
 	case eventOffline:
 		wo.offline[in.name] = !wo.offline[in.name]
@@ -76,7 +81,7 @@
 	wo.mu.Unlock()
 	switch ev.Kind {
 	case eventMember:
-		wo.toggleGhost(ev.Index)
+		wo.toggleUnreachableMember(ev.Index)
 	case eventPause:
 		wo.pause(in.name, time.Duration(ev.Other)*time.Second)
 	case eventZone, eventEndpoint:
@@ -86,8 +91,9 @@
 	}
 }
 
-// history runs random events under constant load and returns what went wrong.
-func history(list []event, seed uint64) []string {
+// runHistory applies events under constant load, ends all faults, and returns
+// the invariants that were violated.
+func runHistory(list []event, seed uint64) []string {
 	wo := newWorld(seed, []string{"a", "b"}, 2, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -103,9 +109,9 @@
 		wo.apply(ev)
 		for passed := 0; passed < ev.Wait; passed += 50 {
 			for _, in := range wo.instances {
-				if wo.draw(4) == 0 {
-					runs := time.Duration(wo.draw(maxRunTime)) * time.Millisecond
-					if wo.draw(10) == 0 {
+				if wo.randomInt(4) == 0 {
+					runs := time.Duration(wo.randomInt(maxRunTime)) * time.Millisecond
+					if wo.randomInt(10) == 0 {
 						runs = longRun
 					}
 					request(in, runs)
@@ -115,13 +121,13 @@
 			for _, zone := range wo.document.Zones {
 				if count := wo.holders(Group{zone.Name, service}); count > 1 {
 					wo.mu.Lock()
-					wo.fault("%d holders in %s", count, zone.Name)
+					wo.recordViolation("%d instances hold the lease in zone %s", count, zone.Name)
 					wo.mu.Unlock()
 				}
 			}
 		}
 	}
-	wo.heal()
+	wo.clearFaults()
 	wg.Wait()
 	time.Sleep(20 * time.Second)
 	wo.checkReleased()
@@ -130,32 +136,34 @@
 	time.Sleep(10 * time.Second)
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
-	return wo.faults
+	return wo.violations
 }
 
-func (wo *world) draw(n int64) int64 {
+func (wo *world) randomInt(n int64) int64 {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
 	return wo.rn.Int64N(n)
 }
 
-// checkReleased fails if a holder counts a place that nobody uses.
+// checkReleased records a violation if a holder still counts a place that is
+// not in use.
 func (wo *world) checkReleased() {
 	for _, in := range wo.instances {
-		for _, ho := range in.gt.held() {
+		for _, ho := range in.gt.activeHolders() {
 			ho.mu.Lock()
 			left := len(ho.requests)
 			ho.mu.Unlock()
 			if left > 0 {
 				wo.mu.Lock()
-				wo.fault("%s still counts %d requests of %s", in.name, left, ho.group)
+				wo.recordViolation("%s still counts %d requests of %s", in.name, left, ho.group)
 				wo.mu.Unlock()
 			}
 		}
 	}
 }
 
-// checkServes fails if a healthy deployment does not serve each instance.
+// checkServes records a violation if an instance is not served although there
+// is no fault and every zone and endpoint is serving.
 func (wo *world) checkServes(ctx context.Context) {
 	for ix := range wo.document.Zones {
 		if !wo.document.Zones[ix].Serving() {
@@ -171,16 +179,16 @@
 	for _, in := range wo.instances {
 		if _, err := wo.serve(ctx, in, "last", 1<<30, time.Millisecond); err != nil {
 			wo.mu.Lock()
-			wo.fault("%s is not served: %v", in.name, err)
+			wo.recordViolation("%s is not served: %v", in.name, err)
 			wo.mu.Unlock()
 		}
 	}
 }
 
-// Under pauses, partitions, lost answers, platform outages, changes of the
-// configuration, holder changes and crashes no endpoint runs more than it
-// bears or gets work after it was closed, there is one holder at most, and
-// each place is given back.
+// Checks that under pauses, network partitions, lost replies, platform
+// outages, configuration changes, changes of the lease holder and crashes: no
+// endpoint runs more than it has the capacity for, no endpoint gets work after
+// it was closed, there is at most one holder, and every place is released.
 func TestHistories(t *testing.T) {
 	checks := flag.Lookup("rapid.checks")
 	if checks.Value.String() == checks.DefValue {
@@ -190,15 +198,16 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		list := events().Draw(rt, "events")
 		seed := rapid.Uint64().Draw(rt, "seed")
-		var faults []string
-		synctest.Test(t, func(*testing.T) { faults = history(list, seed) })
-		if len(faults) > 0 {
-			rt.Fatalf("%s", strings.Join(faults[:min(len(faults), 10)], "\n"))
+		var violations []string
+		synctest.Test(t, func(*testing.T) { violations = runHistory(list, seed) })
+		if len(violations) > 0 {
+			rt.Fatalf("%s", strings.Join(violations[:min(len(violations), 10)], "\n"))
 		}
 	})
 }
 
-// A culprit and its resends cost two endpoints, and the requests beside it
+// Guards against a request that crashes every endpoint it runs at. It and its
+// resends crash at most two endpoints, and the requests that run beside it
 // finish.
 func TestCulprit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -209,8 +218,8 @@
 		time.Sleep(12 * time.Second)
 		var wg sync.WaitGroup
 		var whole atomic.Int64
-		const innocents = 12
-		for ix := range innocents {
+		const bystanders = 12
+		for ix := range bystanders {
 			wg.Go(func() {
 				result, err := wo.serve(ctx, wo.instances[ix%3], fmt.Sprint("i", ix), uint64(ix+1), 2*time.Second)
 				if err != nil {
@@ -223,7 +232,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		for resend := range 6 {
-			_, err := wo.serve(ctx, wo.instances[resend%3], fmt.Sprint("c", resend), crashing|7, 0)
+			_, err := wo.serve(ctx, wo.instances[resend%3], fmt.Sprint("c", resend), crashFlag|7, 0)
 			gm.Expect(err).To(HaveOccurred())
 			if resend > 0 {
 				gm.Expect(refusal.From(err).Reason).To(Equal(refusal.CrashSuspect))
@@ -235,8 +244,8 @@
 			crashes += ma.crashes
 		}
 		gm.Expect(crashes).To(BeNumerically("<=", 2))
-		gm.Expect(whole.Load()).To(Equal(int64(innocents)))
-		gm.Expect(wo.faults).To(BeEmpty())
+		gm.Expect(whole.Load()).To(Equal(int64(bystanders)))
+		gm.Expect(wo.violations).To(BeEmpty())
 		cancel()
 		time.Sleep(10 * time.Second)
 	})
--- a/internal/allocation/bench_test.go
+++ b/internal/allocation/bench_test.go
@@ -47,7 +47,7 @@
 	return n, err
 }
 
-// countedCaller counts calls.
+// countedCaller counts the calls.
 type countedCaller struct {
 	peer.Client
 	calls atomic.Int64
@@ -58,7 +58,7 @@
 	return cc.Client.Call(ctx, address, method, args, reply)
 }
 
-// pair is a holder and an instance that asks it, over loopback.
+// pair is a holder and an instance that requests places from it over loopback.
 type pair struct {
 	holder, other *Granter
 	bytes         atomic.Int64
@@ -89,8 +89,8 @@
 		}
 		list = append(list, platform.Instance{Name: name, Zone: "a", State: platform.InstanceLive, Peer: ln.Addr().String()})
 		gt := &Granter{
-			Instance: name, Zone: "a", Address: ln.Addr().String(), Store: store, Members: fixed(func() []platform.Instance { return list }),
-			Caller: &pa.caller, Endpoints: noEndpoints{}, Configuration: &holder, Clock: clockwork.NewRealClock(), Log: zerolog.Nop(),
+			Instance: name, Zone: "a", Address: ln.Addr().String(), Store: store, Members: membersFunc(func() []platform.Instance { return list }),
+			Caller: &pa.caller, Endpoints: idleEndpoints{}, Configuration: &holder, Clock: clockwork.NewRealClock(), Log: zerolog.Nop(),
 		}
 		se := &peer.Server{Listener: countedListener{ln, &pa.bytes}}
 		if err := se.Register(ServiceName, gt.Service()); err != nil {
@@ -115,17 +115,17 @@
 	return pa
 }
 
-type fixed func() []platform.Instance
+type membersFunc func() []platform.Instance
 
-func (fi fixed) Members() []platform.Instance { return fi() }
+func (fi membersFunc) Members() []platform.Instance { return fi() }
 
-type noEndpoints struct{}
+type idleEndpoints struct{}
 
-func (noEndpoints) Load(string) (endpoint.Load, error) { return endpoint.Load{}, nil }
+func (idleEndpoints) Load(string) (endpoint.Load, error) { return endpoint.Load{}, nil }
 
-func (noEndpoints) CacheEvents(string, int64) ([]endpoint.CacheEvent, error) { return nil, nil }
+func (idleEndpoints) CacheEvents(string, int64) ([]endpoint.CacheEvent, error) { return nil, nil }
 
-func grantOnce(tb testing.TB, gt *Granter) {
+func acquireAndRelease(tb testing.TB, gt *Granter) {
 	re := admission.Request{ID: "0123456789abcdef0123456789abcdef", Service: service, Team: "desk", Weight: 1, Deadline: time.Now().Add(time.Minute)}
 	gr, err := gt.Acquire(tb.Context(), re)
 	if err != nil {
@@ -134,14 +134,14 @@
 	gt.Release(gr, admission.Outcome{Result: admission.Whole})
 }
 
-// BenchmarkGrant is an Acquire and a Release, at the holder itself and over
-// net/rpc on loopback.
+// BenchmarkGrant measures an Acquire and a Release, at the holder itself and
+// over net/rpc on loopback.
 func BenchmarkGrant(b *testing.B) {
 	b.Run("holder", func(b *testing.B) {
 		pa := newPair(b)
 		b.ReportAllocs()
 		for b.Loop() {
-			grantOnce(b, pa.holder)
+			acquireAndRelease(b, pa.holder)
 		}
 	})
 	b.Run("loopback", func(b *testing.B) {
@@ -149,7 +149,7 @@
 		b.ReportAllocs()
 		calls, bytes := pa.caller.calls.Load(), pa.bytes.Load()
 		for b.Loop() {
-			grantOnce(b, pa.other)
+			acquireAndRelease(b, pa.other)
 		}
 		b.ReportMetric(2*float64(pa.caller.calls.Load()-calls)/float64(b.N), "messages/op")
 		b.ReportMetric(float64(pa.bytes.Load()-bytes)/float64(b.N), "wire_bytes/op")
@@ -158,7 +158,7 @@
 		pa := newPair(b)
 		calls, bytes := pa.caller.calls.Load(), pa.bytes.Load()
 		for b.Loop() {
-			grantOnce(b, pa.other)
+			acquireAndRelease(b, pa.other)
 			time.Sleep(10 * time.Millisecond)
 		}
 		b.ReportMetric(2*float64(pa.caller.calls.Load()-calls)/float64(b.N), "messages/op")
--- a/internal/allocation/settle.go
+++ b/internal/allocation/confirm.go
@@ -11,8 +11,9 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// updateViews takes in the list of members, for each zone those that may hold
-// its leases: its own, or all if it has none.
+// updateViews adds the current list of members to the views of each zone. The
+// candidates for a zone's leases are the zone's own instances, or all
+// instances if the zone has none.
 func (gt *Granter) updateViews(cf *kind.Configuration) {
 	list := gt.Members.Members()
 	if len(list) == 0 {
@@ -33,13 +34,15 @@
 	gt.views.Store(&next)
 }
 
-// listed tells whether the platform's newest list has an instance. As long as
-// there is no list, every instance counts as listed.
+// listed reports whether the platform's newest list contains an instance.
+// Until a list has been read, every instance counts as listed.
 func (gt *Granter) listed(name string) bool {
 	list := gt.Members.Members()
 	return len(list) == 0 || slices.ContainsFunc(list, func(in platform.Instance) bool { return in.Name == name })
 }
 
+// candidates returns the names of the instances that may hold the leases of a
+// zone: the zone's own instances, or all if it has none.
 func candidates(list []platform.Instance, zone string) []string {
 	var own, all []string
 	for _, in := range list {
@@ -54,18 +57,19 @@
 	return all
 }
 
-// settle compares the member views that are not settled with all members.
-func (gt *Granter) settle(ctx context.Context) {
+// confirmViews asks the members of each zone whose newest view is not
+// confirmed yet, and confirms the view if all of them agree on it.
+func (gt *Granter) confirmViews(ctx context.Context) {
 	for zone, vi := range *gt.views.Load() {
-		if !vi.settled && gt.responsible(zone) && vi.closed(gt.Clock.Now()) && gt.agreed(ctx, zone, vi.newest()) {
-			gt.replaceView(zone, vi)
+		if !vi.confirmed && gt.isCandidate(zone) && vi.coversOlder(gt.Clock.Now()) && gt.membersAgree(ctx, zone, vi.newest()) {
+			gt.confirmView(zone, vi)
 		}
 	}
 }
 
-// agreed tells whether all members have the same newest view and remember no
-// other instance.
-func (gt *Granter) agreed(ctx context.Context, zone string, members []string) bool {
+// membersAgree reports whether all members have the same newest view, and none
+// of them has an older view with another instance that may still use a share.
+func (gt *Granter) membersAgree(ctx context.Context, zone string, members []string) bool {
 	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
 	addresses := make(map[string]string)
@@ -88,8 +92,9 @@
 	return eg.Wait() == nil
 }
 
-// replaceView settles a view unless it has changed meanwhile.
-func (gt *Granter) replaceView(zone string, vi *views) {
+// confirmView marks the newest view of a zone as confirmed and drops the older
+// ones, unless the views were replaced in the meantime.
+func (gt *Granter) confirmView(zone string, vi *views) {
 	gt.viewLock.Lock()
 	defer gt.viewLock.Unlock()
 	old := *gt.views.Load()
@@ -97,6 +102,6 @@
 		return
 	}
 	next := maps.Clone(old)
-	next[zone] = vi.withSettled()
+	next[zone] = vi.withConfirmed()
 	gt.views.Store(&next)
 }
--- a/internal/allocation/judge.go
+++ b/internal/allocation/crash.go
@@ -13,11 +13,14 @@
 	"filbertstall.example/filbertstall/internal/suspicion"
 )
 
-// dialTimeout bounds the check whether a plain service still listens.
+// dialTimeout limits the connection attempt that checks whether an endpoint of
+// a plain service still listens.
 const dialTimeout = 500 * time.Millisecond
 
-// judge tells the registry of suspects how a request ended.
-func (gt *Granter) judge(pl *place, re admission.Result) {
+// recordOutcome passes the result of a request to the suspicion registry. A
+// request that lost its endpoint is investigated. A suspect that finished is
+// cleared.
+func (gt *Granter) recordOutcome(pl *place, re admission.Result) {
 	if gt.Suspicion == nil || pl.re.Fingerprint == 0 {
 		return
 	}
@@ -27,36 +30,39 @@
 			go gt.Suspicion.Finished(context.Background(), pl.re.Fingerprint)
 		}
 	case admission.Lost:
-		gt.investigate(pl)
+		gt.investigateCrash(pl)
 	}
 }
 
-// investigate finds out whether the endpoint died. A request with the same
-// content waits for the result before it is tried again.
-func (gt *Granter) investigate(pl *place) {
+// investigateCrash checks in the background whether the endpoint crashed while
+// it ran the request. Further requests with the same fingerprint wait for the
+// result (see checkSuspect).
+func (gt *Granter) investigateCrash(pl *place) {
 	done := make(chan struct{})
 	gt.mu.Lock()
-	if _, running := gt.deaths[pl.re.Fingerprint]; running {
+	if _, running := gt.crashChecks[pl.re.Fingerprint]; running {
 		gt.mu.Unlock()
 		return
 	}
-	gt.deaths[pl.re.Fingerprint] = done
+	gt.crashChecks[pl.re.Fingerprint] = done
 	gt.mu.Unlock()
-	known := gt.bootOf(pl)
+	known := gt.lastBootID(pl)
 	go func() {
 		defer close(done)
-		if gt.died(pl, known) {
-			gt.Log.Warn().Str("endpoint", pl.endpoint).Str("request", pl.re.ID).Msg("allocation: endpoint died under a request")
+		if gt.crashed(pl, known) {
+			gt.Log.Warn().Str("endpoint", pl.endpoint).Str("request", pl.re.ID).Msg("allocation: endpoint crashed while it ran a request; recording a loss for the request")
 			gt.Explain.Add(pl.re.ID, explain.Event{Step: explain.Suspect, Endpoint: pl.endpoint, Reason: "the endpoint died while it ran the request"})
 			gt.Suspicion.Lost(context.Background(), pl.re.Fingerprint, suspicion.Loss{Endpoint: pl.endpoint, Boot: known})
 		}
 		gt.mu.Lock()
-		delete(gt.deaths, pl.re.Fingerprint)
+		delete(gt.crashChecks, pl.re.Fingerprint)
 		gt.mu.Unlock()
 	}()
 }
 
-func (gt *Granter) bootOf(pl *place) string {
+// lastBootID returns the boot id that the endpoint had when the holder last
+// sent boot ids, or "" if there is none.
+func (gt *Granter) lastBootID(pl *place) string {
 	cf := gt.Configuration.Load()
 	en, found := cf.Endpoint(pl.endpoint)
 	if !found {
@@ -68,10 +74,11 @@
 	return li.boots[pl.endpoint].id
 }
 
-// died tells whether the endpoint does not listen any more, or listens as
-// another process. A link that broke proves nothing.
-func (gt *Granter) died(pl *place, known string) bool {
-	if !gt.reports(pl.re.Service) {
+// crashed reports whether the endpoint no longer listens, or runs under
+// another boot id than the known one. A broken connection alone does not show
+// that the endpoint crashed.
+func (gt *Granter) crashed(pl *place, known string) bool {
+	if !gt.reportsLoad(pl.re.Service) {
 		return !listens(pl.url)
 	}
 	lo, err := gt.Endpoints.Load(pl.url)
@@ -81,6 +88,9 @@
 	return known != "" && lo.BootID != known
 }
 
+// listens reports whether address accepts TCP connections. An address that
+// cannot be parsed counts as listening, because it says nothing about the
+// endpoint.
 func listens(address string) bool {
 	ur, err := url.Parse(address)
 	if err != nil {
@@ -93,14 +103,15 @@
 	return conn.Close() == nil
 }
 
-// suspect waits for a running investigation and says how the request is
-// treated.
-func (gt *Granter) suspect(ctx context.Context, re admission.Request) (bool, *refusal.Error) {
+// checkSuspect waits for a running crash investigation of the same fingerprint
+// and returns whether the request is a suspect. It returns an error if the
+// request must not run again or if ctx ends first.
+func (gt *Granter) checkSuspect(ctx context.Context, re admission.Request) (bool, *refusal.Error) {
 	if gt.Suspicion == nil || re.Fingerprint == 0 {
 		return false, nil
 	}
 	gt.mu.Lock()
-	done := gt.deaths[re.Fingerprint]
+	done := gt.crashChecks[re.Fingerprint]
 	gt.mu.Unlock()
 	if done != nil {
 		select {
--- a/internal/allocation/doc.go
+++ b/internal/allocation/doc.go
@@ -1,9 +1,23 @@
-// Package allocation grants places at endpoints across entry instances.
+// Package allocation grants places at endpoints across entry instances. A place
+// is the right to run one of the concurrent requests (sequences) that an
+// endpoint has the capacity for.
 //
 // For each availability zone and service one instance holds a lease and runs
-// the decision core, admission.Allocator. The others ask it over net/rpc and
-// tell it every SyncInterval what they have in flight. An instance that
-// cannot reach a holder uses its share of the places that holders never grant.
+// the decision core, admission.Allocator. The other instances request places
+// from this lease holder over net/rpc. Every SyncInterval they send it a sync:
+// the list of all requests that they have waiting or in flight. A new holder
+// rebuilds its state from these syncs.
+//
+// An instance that cannot reach a holder uses its share of the fallback places,
+// which holders never grant. When it has been silent for long enough, the
+// holder reserves its share of the whole capacity. It then uses that share too,
+// as far as the endpoint's own load report leaves room. Shares are computed
+// from views: the lists of members that the platform has published one after
+// another.
+//
+// A suspect is a request with the same content as one that was running at an
+// endpoint when that crashed. The holder never lets two suspects run at the
+// same endpoint at the same time.
 //
 // # Usage
 //
--- a/internal/allocation/granter.go
+++ b/internal/allocation/granter.go
@@ -28,33 +28,36 @@
 	Members() []platform.Instance
 }
 
-// Endpoints asks endpoints what they publish of themselves.
+// Endpoints reads the load reports and cache events that endpoints publish.
 type Endpoints interface {
 	Load(url string) (endpoint.Load, error)
 	CacheEvents(url string, after int64) ([]endpoint.CacheEvent, error)
 }
 
-// Source says who gave a place.
+// Source says where a place comes from. It labels the grants counter.
 type Source string
 
 // The sources of places.
 const (
-	// OwnZone is the holder of the own availability zone.
+	// OwnZone places are granted by the holder of the instance's own
+	// availability zone.
 	OwnZone Source = "own_zone"
-	// OtherZone is the holder of another availability zone.
+	// OtherZone places are granted by the holder of another availability zone.
 	OtherZone Source = "other_zone"
-	// Standing is the share of the standing places.
-	Standing Source = "standing"
-	// Share is the share of the whole capacity.
+	// Fallback places come from the instance's share of the places that
+	// holders never grant.
+	Fallback Source = "standing"
+	// Share places come from the instance's share of the whole capacity, which
+	// the holder reserves while the instance is silent.
 	Share Source = "share"
-	// Resumed places belong to generations that run already.
+	// Resumed places belong to generations that are already running.
 	Resumed Source = "resumed"
 )
 
-var sources = []Source{OwnZone, OtherZone, Standing, Share, Resumed}
+var sources = []Source{OwnZone, OtherZone, Fallback, Share, Resumed}
 
-// Granter is the admission.Granter of an entry instance. Set the fields before
-// the first call. It is safe for concurrent use.
+// Granter is the admission.Granter of an entry instance. The exported fields
+// must be set before the first call. It is safe for concurrent use.
 type Granter struct {
 	Instance string
 	Zone     string
@@ -67,34 +70,34 @@
 	Configuration *snapshot.Holder[kind.Configuration]
 	Clock         clockwork.Clock
 	Log           zerolog.Logger
-	// Scope takes the counters; nil means none.
+	// Scope receives the counters. Nil disables them.
 	Scope tally.Scope
 	// Suspicion and Explain are optional.
 	Suspicion *suspicion.Registry
 	Explain   *explain.Ring
 
-	once    sync.Once
-	began   time.Time
-	serial  atomic.Int64
-	granted map[Source]tally.Counter
-	views   snapshot.Holder[map[string]*views]
-	// viewLock is held by writers of views.
-	viewLock sync.Mutex
-	kick     chan struct{}
-	leaving  atomic.Bool
-
-	mu        sync.Mutex
-	links     map[Group]*link
-	holders   map[Group]*holder
-	leases    map[Group]*lease.Lease
-	records   map[Group]lease.Record
-	places    map[*admission.Grant]*granted
-	deaths    map[uint64]chan struct{}
-	refusedAt map[Group]time.Time
+	once          sync.Once
+	began         time.Time
+	serial        atomic.Int64
+	grantCounters map[Source]tally.Counter
+	views         snapshot.Holder[map[string]*views]
+	// viewLock serializes writers of views.
+	viewLock      sync.Mutex
+	syncRequested chan struct{}
+	leaving       atomic.Bool
+
+	mu          sync.Mutex
+	links       map[Group]*link
+	holders     map[Group]*holder
+	leases      map[Group]*lease.Lease
+	records     map[Group]lease.Record
+	places      map[*admission.Grant]*grantedPlace
+	crashChecks map[uint64]chan struct{}
+	refusedAt   map[Group]time.Time
 }
 
-// granted is a place that a request uses.
-type granted struct {
+// grantedPlace is a place that is in use, and the link that it belongs to.
+type grantedPlace struct {
 	li *link
 	pl *place
 }
@@ -104,26 +107,28 @@
 		if gt.Scope == nil {
 			gt.Scope = tally.NoopScope
 		}
-		gt.granted = metric.Reasons(gt.Scope, "grants", sources)
+		gt.grantCounters = metric.Reasons(gt.Scope, "grants", sources)
 		gt.began = gt.Clock.Now()
-		gt.kick = make(chan struct{}, 1)
+		gt.syncRequested = make(chan struct{}, 1)
 		gt.links = make(map[Group]*link)
 		gt.holders = make(map[Group]*holder)
 		gt.leases = make(map[Group]*lease.Lease)
 		gt.records = make(map[Group]lease.Record)
-		gt.places = make(map[*admission.Grant]*granted)
-		gt.deaths = make(map[uint64]chan struct{})
+		gt.places = make(map[*admission.Grant]*grantedPlace)
+		gt.crashChecks = make(map[uint64]chan struct{})
 		gt.refusedAt = make(map[Group]time.Time)
 		gt.views.Store(&map[string]*views{})
 	})
 }
 
-// newKey returns a key that no other Acquire of any instance has.
+// newKey returns a key that is unique among all Acquire calls of all
+// instances.
 func (gt *Granter) newKey() string {
 	return gt.Instance + "-" + strconv.FormatInt(gt.began.UnixNano(), 36) + "-" + strconv.FormatInt(gt.serial.Add(1), 36)
 }
 
-// viewsOf returns the member views of a zone.
+// viewsOf returns the member views of a zone, which are empty if the zone is
+// unknown.
 func (gt *Granter) viewsOf(zone string) *views {
 	if vi, found := (*gt.views.Load())[zone]; found {
 		return vi
@@ -131,22 +136,22 @@
 	return &views{}
 }
 
-// link returns this instance's side of a group.
+// link returns the link of a group and creates it if there is none yet.
 func (gt *Granter) link(gr Group) *link {
 	gt.prepare()
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
 	li, found := gt.links[gr]
 	if !found {
-		li = newLink(gr, gt.Clock.Now(), func() bool { return gr.Zone == gt.Zone || gt.responsible(gr.Zone) })
+		li = newLink(gr, gt.Clock.Now(), func() bool { return gr.Zone == gt.Zone || gt.isCandidate(gr.Zone) })
 		gt.links[gr] = li
 	}
 	return li
 }
 
-// responsible tells whether this instance may hold the zone's leases and has a
-// share of its endpoints.
-func (gt *Granter) responsible(zone string) bool {
+// isCandidate reports whether this instance may hold the zone's leases and has
+// a share of its endpoints.
+func (gt *Granter) isCandidate(zone string) bool {
 	for _, name := range gt.viewsOf(zone).newest() {
 		if name == gt.Instance {
 			return true
@@ -155,7 +160,8 @@
 	return false
 }
 
-// holder returns the decision core of a group that this instance holds.
+// holder returns the decision core of a group, or nil if this instance does
+// not hold the lease.
 func (gt *Granter) holder(gr Group) *holder {
 	gt.prepare()
 	gt.mu.Lock()
@@ -163,9 +169,10 @@
 	return gt.holders[gr]
 }
 
-// holderOf returns the peer address of a group's holder.
+// holderOf returns the peer address of a group's holder: that of the lease
+// record or of the last exchange, whichever has the higher epoch.
 func (gt *Granter) holderOf(gr Group) (address string, ok bool) {
-	address, epoch := gt.link(gr).holder()
+	address, epoch := gt.link(gr).lastHolder()
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
 	if re, found := gt.records[gr]; found && re.Epoch > epoch {
@@ -174,7 +181,8 @@
 	return address, address != ""
 }
 
-// call makes a call of another instance, or of this one without the network.
+// call calls a method of another instance. Calls to this instance bypass the
+// network.
 func (gt *Granter) call(ctx context.Context, address, method string, args, reply any) error {
 	if address != gt.Address {
 		return gt.Caller.Call(ctx, address, ServiceName+"."+method, args, reply)
@@ -194,15 +202,17 @@
 	}
 }
 
-// wake sends lists without waiting for the next SyncInterval.
-func (gt *Granter) wake() {
+// requestSync makes the sync loop send without waiting for the next
+// SyncInterval.
+func (gt *Granter) requestSync() {
 	select {
-	case gt.kick <- struct{}{}:
+	case gt.syncRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Release implements admission.Granter.
+// Release implements admission.Granter. It ignores grants that it does not
+// know or that were already released.
 func (gt *Granter) Release(gr *admission.Grant, ou admission.Outcome) {
 	gt.mu.Lock()
 	it, found := gt.places[gr]
@@ -212,7 +222,7 @@
 		return
 	}
 	gt.Explain.Add(gr.Request.ID, explain.Event{Step: explain.Released, Endpoint: it.pl.endpoint, Reason: string(ou.Result)})
-	gt.judge(it.pl, ou.Result)
+	gt.recordOutcome(it.pl, ou.Result)
 	it.li.finish(it.pl.key, ou)
-	gt.wake()
+	gt.requestSync()
 }
--- a/internal/allocation/group.go
+++ b/internal/allocation/group.go
@@ -6,17 +6,20 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// leasePrefix is the platform prefix of all allocator leases.
+// leasePrefix is the key prefix of all allocator leases in the platform's
+// store.
 const leasePrefix = "lease/allocator/"
 
 const (
-	// coldPart and warmPart are the parts of an endpoint's cold and warm
-	// capacity that holders never grant: a quarter and an eighth.
-	coldPart = 4
-	warmPart = 8
+	// Holders never grant a quarter of an endpoint's cold capacity or an
+	// eighth of its warm capacity, whichever is smaller. These fallback places
+	// are left to instances that cannot reach a holder.
+	coldFallbackDivisor = 4
+	warmFallbackDivisor = 8
 )
 
-// Group is the endpoints of one service in one availability zone.
+// Group identifies the endpoints of one service in one availability zone. Each
+// group has its own lease and its own decision core.
 type Group struct {
 	Zone    string
 	Service string
@@ -25,16 +28,18 @@
 // String returns the group as "zone/service".
 func (gr Group) String() string { return gr.Zone + "/" + gr.Service }
 
-// Key returns the platform key of the group's lease.
+// Key returns the key of the group's lease in the platform's store.
 func (gr Group) Key() string { return leasePrefix + gr.String() }
 
-// parseKey returns the group of a lease's key.
+// parseKey returns the group of a lease key. It returns false if the key does
+// not contain both a zone and a service.
 func parseKey(key string) (Group, bool) {
 	zone, service, ok := strings.Cut(strings.TrimPrefix(key, leasePrefix), "/")
 	return Group{Zone: zone, Service: service}, ok
 }
 
-// groups returns the groups of a configuration that have endpoints.
+// groups returns the groups that have at least one endpoint in the
+// configuration.
 func groups(cf *kind.Configuration) []Group {
 	var list []Group
 	seen := make(map[Group]bool)
@@ -59,8 +64,9 @@
 	return list
 }
 
-// standing returns how many places of an endpoint are kept for instances that
-// reach no holder. It fits into a cold endpoint too.
-func standing(ca kind.Capacity) int {
-	return min(ca.ColdSequences/coldPart, ca.Sequences/warmPart)
+// fallbackPlaces returns how many places of an endpoint holders never grant,
+// so that instances that cannot reach a holder can use them. The number also
+// fits into the capacity of a cold endpoint.
+func fallbackPlaces(ca kind.Capacity) int {
+	return min(ca.ColdSequences/coldFallbackDivisor, ca.Sequences/warmFallbackDivisor)
 }
--- a/internal/allocation/handover_test.go
+++ b/internal/allocation/handover_test.go
@@ -11,34 +11,38 @@
 	. "github.com/onsi/gomega"
 )
 
-// handoverSeeds is the number of runs that the figures are taken from.
+// handoverSeeds is the number of simulations from which the reported figures
+// are computed.
 const (
 	handoverSeeds = 4
-	// loadDraw is one request for so many turns of 50 ms: 2 at once on average,
-	// which the other zone bears even when it is cold.
-	loadDraw = 30
+	// loadInverse sets the load: each instance starts a request with
+	// probability 1/loadInverse every 50 ms. That gives 2 requests at once on
+	// average, which the other zone has the capacity for even when it is cold.
+	loadInverse = 30
 )
 
-// handover is what callers see while a zone's holder goes.
+// handover contains what callers see while the holder of a zone is replaced.
+// withoutHolder is the time until another instance holds the lease.
 type handover struct {
-	vacant time.Duration
-	waits  []time.Duration
-	failed int
+	withoutHolder time.Duration
+	waits         []time.Duration
+	failed        int
 }
 
-// kill ends an instance as if its machine were gone.
+// kill stops an instance and cuts it off, as if its machine had failed.
 func (wo *world) kill(in *instance) {
 	in.stop()
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
 	for _, it := range wo.instances {
-		wo.cut[link2(in.name, it.name)] = true
+		wo.interrupted[pathKey(in.name, it.name)] = true
 	}
 	wo.offline[in.name] = true
 }
 
-// measure runs load on the other instances while the holder of zone a goes.
-func measure(seed uint64, leave func(wo *world, in *instance)) handover {
+// simulateHandover runs load on the other instances while leave ends the
+// holder of zone a.
+func simulateHandover(seed uint64, leave func(wo *world, in *instance)) handover {
 	wo := newWorld(seed, []string{"a", "b"}, 2, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	wo.start(ctx)
@@ -48,7 +52,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	time.Sleep(2*time.Second + time.Duration(wo.draw(2000))*time.Millisecond)
+	time.Sleep(2*time.Second + time.Duration(wo.randomInt(2000))*time.Millisecond)
 	gr := Group{"a", service}
 	gone := wo.instances[slices.IndexFunc(wo.instances, func(in *instance) bool { return in.gt.holder(gr) != nil })]
 	var ha handover
@@ -57,11 +61,11 @@
 	began := time.Now()
 	leave(wo, gone)
 	for time.Since(began) < 15*time.Second {
-		if ha.vacant == 0 && slices.ContainsFunc(wo.instances, func(in *instance) bool { return in != gone && in.holds(gr) }) {
-			ha.vacant = time.Since(began)
+		if ha.withoutHolder == 0 && slices.ContainsFunc(wo.instances, func(in *instance) bool { return in != gone && in.holds(gr) }) {
+			ha.withoutHolder = time.Since(began)
 		}
 		for _, in := range wo.instances {
-			if in == gone || wo.draw(loadDraw) != 0 {
+			if in == gone || wo.randomInt(loadInverse) != 0 {
 				continue
 			}
 			wg.Go(func() {
@@ -83,34 +87,38 @@
 	return ha
 }
 
-func report99(t *testing.T, name string, leave func(wo *world, in *instance)) (vacant time.Duration, failed float64) {
+// measureHandovers simulates one handover per seed. It logs the distributions
+// and returns the longest time without a holder and the part of the requests
+// that failed.
+func measureHandovers(t *testing.T, name string, leave func(wo *world, in *instance)) (withoutHolder time.Duration, failed float64) {
 	var all handover
-	var vacancies []time.Duration
+	var durations []time.Duration
 	for seed := range uint64(handoverSeeds) {
 		var ha handover
-		synctest.Test(t, func(*testing.T) { ha = measure(seed, leave) })
-		vacancies = append(vacancies, ha.vacant)
+		synctest.Test(t, func(*testing.T) { ha = simulateHandover(seed, leave) })
+		durations = append(durations, ha.withoutHolder)
 		all.waits = append(all.waits, ha.waits...)
 		all.failed += ha.failed
 	}
-	slices.Sort(vacancies)
+	slices.Sort(durations)
 	slices.Sort(all.waits)
 	failed = float64(all.failed) / float64(len(all.waits))
 	t.Logf("%s: new holder after p50 %s, most %s; %d requests, %.4f refused, wait p50 %s p99 %s", name,
-		vacancies[len(vacancies)/2], vacancies[len(vacancies)-1], len(all.waits), failed, all.waits[len(all.waits)/2], all.waits[len(all.waits)*99/100])
-	return vacancies[len(vacancies)-1], failed
+		durations[len(durations)/2], durations[len(durations)-1], len(all.waits), failed, all.waits[len(all.waits)/2], all.waits[len(all.waits)*99/100])
+	return durations[len(durations)-1], failed
 }
 
-// A zone whose holder dies or stops has a new one within the lease's term and
-// a few reads, and its other instances go on serving meanwhile.
+// Checks that a zone whose holder fails or shuts down gracefully has a new
+// holder within the term of the lease and a few reads, and that the zone's
+// other instances serve requests in the meantime.
 func TestHandover(t *testing.T) {
 	gm := NewWithT(t)
-	vacant, failed := report99(t, "death", func(wo *world, in *instance) { wo.kill(in) })
-	gm.Expect(vacant).To(BeNumerically("<", 10*time.Second))
+	withoutHolder, failed := measureHandovers(t, "death", func(wo *world, in *instance) { wo.kill(in) })
+	gm.Expect(withoutHolder).To(BeNumerically("<", 10*time.Second))
 	gm.Expect(failed).To(BeNumerically("<", 0.01))
-	vacant, failed = report99(t, "planned stop", func(_ *world, in *instance) {
+	withoutHolder, failed = measureHandovers(t, "planned stop", func(_ *world, in *instance) {
 		in.gt.Leave(context.Background())
 	})
-	gm.Expect(vacant).To(BeNumerically("<", 3*time.Second))
+	gm.Expect(withoutHolder).To(BeNumerically("<", 3*time.Second))
 	gm.Expect(failed).To(BeZero())
 }
--- a/internal/allocation/holder.go
+++ b/internal/allocation/holder.go
@@ -12,79 +12,91 @@
 )
 
 const (
-	// silenceLimit is how old a member's last contact may be before the places
-	// that it may use on its own are kept free.
+	// silenceLimit is how old a member's last-seen time may be before the
+	// places that the member may use on its own are reserved for it.
 	silenceLimit = 1500 * time.Millisecond
-	// deadAfter is the silence after which an endpoint's report may show that
-	// a member's requests are over.
-	deadAfter = 15 * time.Second
-	// unreportedAfter is the same for endpoints that report nothing.
-	unreportedAfter = time.Minute
-	// askLimit is how long a waiting request stays without being asked for.
-	askLimit = 3 * time.Second
-	// reportLag bounds how far an endpoint's report lags.
-	reportLag = 2 * time.Second
-	// settleLimit bounds the wait of a new holder for members that it has
-	// never heard.
-	settleLimit = deadAfter
-	// refreshInterval bounds how old the capacities are that the core sees.
+	// memberDeadAfter is the silence of a member after which an endpoint's
+	// load report may show that the member's requests there have ended.
+	memberDeadAfter = 15 * time.Second
+	// unreportedDeadAfter is the silence after which the member's requests
+	// count as ended at endpoints that publish no load reports.
+	unreportedDeadAfter = time.Minute
+	// waitingExpiry is how long a waiting request stays queued after the last
+	// call that asked for it.
+	waitingExpiry = 3 * time.Second
+	// maxReportLag is the upper bound on the age of the load that an endpoint
+	// reports.
+	maxReportLag = 2 * time.Second
+	// recoveryLimit limits how long a new holder waits for members that it has
+	// not heard from yet.
+	recoveryLimit = memberDeadAfter
+	// refreshInterval limits how old the capacities may be that the decision
+	// core works with.
 	refreshInterval = 50 * time.Millisecond
 )
 
-// request is one request that the holder knows, waiting or granted.
+// request is a request that the holder knows, waiting or granted.
 type request struct {
 	key      string
 	instance string
 	re       admission.Request
-	// sequence is the instance's when it asked; a later list without the key
-	// means that the instance has given up.
+	// sequence is that of the instance's last sync before it asked. A later
+	// sync without the key means that the instance has given up.
 	sequence int64
-	asked    time.Time
-	suspect  bool
-	// submitted requests are in the decision core's queue.
+	// asked is when the instance last asked for the request, or reported it in
+	// flight.
+	asked   time.Time
+	suspect bool
+	// submitted means that the request was queued in the decision core.
 	submitted bool
 	endpoint  string
 	priority  int
 	refusal   *refusal.Error
-	// done is closed by the decision.
+	// done is closed when the request is granted or refused.
 	done chan struct{}
 }
 
+// granted reports whether the request has a place at an endpoint.
 func (rq *request) granted() bool { return rq.endpoint != "" }
 
-// contact is what a holder knows of a member.
+// contact is what the holder knows about a member's syncs.
 type contact struct {
-	// sequence is that of the last list that was taken in.
+	// sequence is that of the last sync that was processed.
 	sequence int64
-	// heard is when the stamp was issued that the last list carried. The
-	// member did send it later than that.
-	heard time.Time
+	// lastSeen is when the holder issued the stamp that the last sync carried.
+	// The member sent that sync later, so lastSeen is a lower bound that does
+	// not depend on the member's clock or on delays.
+	lastSeen time.Time
 }
 
 // report is the last load report of an endpoint.
 type report struct {
-	at    time.Time
+	// at is when the report was requested.
+	at time.Time
+	// total is the number of requests that run or wait at the endpoint.
 	total int
 	boot  string
 	warm  bool
 }
 
-// holder runs the decision core of one group for one epoch.
+// holder runs the decision core of one group for one epoch of its lease.
 type holder struct {
 	group Group
 	epoch int64
+	// since is when this instance took the lease.
 	since time.Time
 	// views returns the member views of the zone.
 	views func() *views
-	// current returns the configuration in force, or nil.
+	// current returns the configuration in force, or nil if there is none yet.
 	current func() *kind.Configuration
-	// held tells whether the lease is owned at this moment.
+	// held reports whether this instance owns the lease at this moment.
 	held func() bool
-	// listed tells whether the platform's newest list has an instance.
+	// listed reports whether the platform's newest list contains an instance.
 	listed func(name string) bool
-	// reporting tells whether the endpoints publish load reports.
+	// reporting is true if the endpoints publish load reports.
 	reporting bool
-	// warm are the boot ids under which the holder before saw endpoints warm.
+	// warm maps endpoints to the boot ids under which the previous holder saw
+	// them warm. It is nil if the previous holder's information is too old.
 	warm map[string]string
 
 	mu       sync.Mutex
@@ -92,47 +104,55 @@
 	contacts map[string]*contact
 	requests map[string]*request
 	reports  map[string]report
-	// parked requests wait outside of the core.
-	parked []*request
-	// bootVersion rises when an endpoint reports another boot id.
+	// deferred contains the requests that are not in the decision core's queue
+	// yet.
+	deferred []*request
+	// bootVersion increases whenever an endpoint reports another boot id or
+	// becomes warm or cold.
 	bootVersion int64
-	// doubts is when an endpoint last failed; it may have restarted.
-	doubts map[string]time.Time
-	// delisted is since when members are missing from the platform's list.
+	// failedAt maps endpoints to the time of their last failure. Such an
+	// endpoint may have restarted and be cold.
+	failedAt map[string]time.Time
+	// delisted maps members that are missing from the platform's list to the
+	// time since when they are missing.
 	delisted map[string]time.Time
-	// listRead is when the list was last looked at for that.
-	listRead  time.Time
+	// listRead is when delisted was last updated.
+	listRead time.Time
+	// sequences maps endpoints to the last cache event that was processed.
 	sequences map[string]int64
 
 	configuration *kind.Configuration
 	refreshed     time.Time
-	silent        []string
-	// eligible endpoints take new work by the configuration, open ones also
-	// at this moment.
+	// silent contains the members without recent contact, as of refreshed.
+	silent []string
+	// eligible contains the endpoints that may take new work by the
+	// configuration. open contains those of them that may take it at this
+	// moment.
 	eligible map[string]bool
 	open     map[string]bool
-	// kept is how many places of each endpoint must stay free, holding how
-	// many the core counts for that.
-	kept    map[string]int
-	holding map[string]int
+	// reserve maps endpoints to the number of places that must stay free.
+	// reserved maps them to the number of placeholder requests that the
+	// decision core holds for that.
+	reserve  map[string]int
+	reserved map[string]int
 }
 
-// prepare makes the containers. The fields above mu are set before it.
+// prepare initializes the fields below mu. Those above it must be set before.
 func (ho *holder) prepare() *holder {
 	ho.core = &admission.Allocator{}
 	ho.contacts = make(map[string]*contact)
 	ho.requests = make(map[string]*request)
 	ho.reports = make(map[string]report)
 	ho.sequences = make(map[string]int64)
-	ho.doubts = make(map[string]time.Time)
+	ho.failedAt = make(map[string]time.Time)
 	ho.delisted = make(map[string]time.Time)
-	ho.kept = make(map[string]int)
-	ho.holding = make(map[string]int)
+	ho.reserve = make(map[string]int)
+	ho.reserved = make(map[string]int)
 	return ho
 }
 
-// submit queues a request, or finds the one that an earlier call queued. The
-// returned failure is empty unless the call had no effect.
+// submit queues a request, or finds the one that an earlier call with the same
+// key queued. The returned failure is empty unless the call had no effect.
 func (ho *holder) submit(now time.Time, args *AcquireArgs) (*request, ErrorKind) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -152,7 +172,7 @@
 		asked: now, suspect: args.Suspect, done: make(chan struct{}),
 	}
 	ho.requests[rq.key] = rq
-	ho.parked = append(ho.parked, rq)
+	ho.deferred = append(ho.deferred, rq)
 	ho.decide(now)
 	if args.NoWait && !rq.granted() && rq.refusal == nil {
 		ho.core.Withdraw(now, rq.key)
@@ -161,8 +181,9 @@
 	return rq, ""
 }
 
-// restrict returns the request as the core sees it: named by its key, without
-// the endpoints of a half that the caller may not use.
+// restrict returns the request as the decision core sees it: with its key as
+// the ID, and with all endpoints excluded that are outside of the half that
+// the caller may use.
 func (ho *holder) restrict(args *AcquireArgs) admission.Request {
 	re := args.Request
 	re.ID = args.Key
@@ -178,22 +199,23 @@
 	return re
 }
 
-// refuse answers a request and forgets it; the waiting call holds it.
+// refuse refuses a request and removes it. A call that waits for the decision
+// still refers to it.
 func (ho *holder) refuse(rq *request, er *refusal.Error) {
 	rq.refusal = er
 	delete(ho.requests, rq.key)
 	close(rq.done)
 }
 
-// decide hands out what the core decides. Nothing is granted without the
-// lease.
+// decide applies the decisions of the core. It grants nothing unless this
+// instance owns the lease.
 func (ho *holder) decide(now time.Time) {
 	ho.refresh(now)
-	ho.hold(now)
+	ho.applyReserves(now)
 	if !ho.held() {
 		return
 	}
-	ho.releaseParked(now)
+	ho.enqueueDeferred(now)
 	for _, de := range ho.core.Decide(now) {
 		rq, found := ho.requests[de.ID]
 		switch {
@@ -208,7 +230,7 @@
 	}
 }
 
-// tick does what is due by time.
+// tick expires requests and applies the decisions that are due.
 func (ho *holder) tick(now time.Time) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -216,7 +238,8 @@
 	ho.decide(now)
 }
 
-// report takes in an endpoint's load report, asked for at a time.
+// report processes an endpoint's load report. asked is when the report was
+// requested.
 func (ho *holder) report(asked, now time.Time, name string, lo endpoint.Load) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -232,21 +255,22 @@
 	ho.reports[name] = report{at: asked, total: lo.Running + lo.Waiting, boot: lo.BootID, warm: warm}
 }
 
-// doubt keeps new work away from an endpoint that reports its load, until it
-// does so again.
-func (ho *holder) doubt(now time.Time, name string) {
+// markFailed closes an endpoint for new work until its next load report. It
+// has no effect on endpoints that have never reported.
+func (ho *holder) markFailed(now time.Time, name string) {
 	if _, reports := ho.reports[name]; reports {
-		ho.doubts[name], ho.refreshed = now, time.Time{}
+		ho.failedAt[name], ho.refreshed = now, time.Time{}
 	}
 }
 
-// unreported notes that an endpoint did not answer.
-func (ho *holder) unreported(now time.Time, name string) {
+// pollFailed records that an endpoint did not answer a load poll.
+func (ho *holder) pollFailed(now time.Time, name string) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
-	ho.doubt(now, name)
+	ho.markFailed(now, name)
 }
 
+// bootList returns the boot ids of all endpoints that have reported.
 func (ho *holder) bootList() []Boot {
 	var list []Boot
 	for name, re := range ho.reports {
@@ -255,10 +279,13 @@
 	return list
 }
 
-// stamp marks a message of the holder with its time. A member sends it back.
+// stamp returns the holder's time for a message to a member, in nanoseconds
+// since the holder began, plus 1 because zero means no stamp. The member
+// echoes it in its next sync.
 func (ho *holder) stamp(now time.Time) int64 { return now.Sub(ho.since).Nanoseconds() + 1 }
 
-// cacheSequence returns up to which event an endpoint's cache is known.
+// cacheSequence returns the sequence number of the last cache event that was
+// processed for an endpoint.
 func (ho *holder) cacheSequence(name string) int64 {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -274,13 +301,13 @@
 	ho.core.CacheEvents(now, name, list)
 }
 
-// answer returns the reply to a call that waited for rq.
-func (ho *holder) answer(rq *request) AcquireReply {
+// replyTo returns the reply to a call that waited for rq.
+func (ho *holder) replyTo(rq *request) AcquireReply {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	reply := AcquireReply{Epoch: ho.epoch, Endpoint: rq.endpoint, Priority: rq.priority}
 	if rq.refusal != nil {
-		reply.refuse(rq.refusal)
+		reply.setRefusal(rq.refusal)
 	}
 	reply.Pending = rq.refusal == nil && !rq.granted()
 	return reply
--- a/internal/allocation/holder_test.go
+++ b/internal/allocation/holder_test.go
@@ -17,12 +17,12 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// bench is one holder of one endpoint without a network.
+// bench is one holder with one endpoint, without a network.
 type bench struct {
 	ho   *holder
 	now  time.Time
 	held bool
-	// listed is the platform's list.
+	// listed is the platform's list of instances.
 	listed []string
 }
 
@@ -49,13 +49,14 @@
 	return be
 }
 
-// hear makes the holder hear a member, with the stamp sent back.
-func (be *bench) hear(name string, sequence int64, places ...PlaceSync) GroupReply {
+// syncFrom sends the holder a sync of a member that carries the holder's
+// current stamp.
+func (be *bench) syncFrom(name string, sequence int64, places ...PlaceSync) GroupReply {
 	gs := &GroupSync{Group: be.ho.group, Sequence: sequence, Epoch: be.ho.epoch, Stamp: be.ho.stamp(be.now), Places: places}
 	return be.ho.sync(be.now, name, gs)
 }
 
-// fill asks for more than there is and returns how many were granted.
+// fill requests more places than there are and returns how many were granted.
 func (be *bench) fill(name string, sequence int64) int {
 	count := 0
 	for ix := range 2 * sequences {
@@ -68,15 +69,16 @@
 	return count
 }
 
-// A new holder that cannot reach a member grants nothing before the endpoint
-// reports, and then no more than the report leaves.
+// Guards against overload after a change of the holder. A new holder that
+// cannot reach a member must not grant anything before the endpoint has
+// reported its load, and afterwards no more than the report leaves free.
 func TestNewHolderSettles(t *testing.T) {
 	gm := NewWithT(t)
 	be := newBench(t, "entry-0", "entry-1")
-	be.hear("entry-0", 1)
+	be.syncFrom("entry-0", 1)
 	gm.Expect(be.fill("entry-0", 1)).To(BeZero())
-	be.now = be.now.Add(reportLag)
-	be.hear("entry-0", 2)
+	be.now = be.now.Add(maxReportLag)
+	be.syncFrom("entry-0", 2)
 	const unknown = 3
 	be.ho.report(be.now, be.now, "engine", endpoint.Load{Running: unknown})
 	be.now = be.now.Add(refreshInterval)
@@ -88,7 +90,7 @@
 func TestNothingIsGrantedWithoutTheLease(t *testing.T) {
 	gm := NewWithT(t)
 	be := newBench(t, "entry-0")
-	be.hear("entry-0", 1)
+	be.syncFrom("entry-0", 1)
 	gm.Expect(be.fill("entry-0", 1)).To(And(BeNumerically(">", 0), BeNumerically("<", sequences)))
 	rq, _ := be.ho.submit(be.now, &AcquireArgs{Group: be.ho.group, Instance: "entry-0", Sequence: 1, Key: "waits"})
 	be.held = false
@@ -105,12 +107,12 @@
 	gm.Expect(rq.granted()).To(BeTrue())
 }
 
-// An endpoint that failed may have restarted cold: it gets no new work before
-// it has reported its boot id again.
+// Guards against overload of an endpoint that failed and may have restarted
+// cold. It must not get new work before it has reported its boot id again.
 func TestFailedEndpointWaitsForItsReport(t *testing.T) {
 	gm := NewWithT(t)
 	be := newBench(t, "entry-0")
-	be.hear("entry-0", 1)
+	be.syncFrom("entry-0", 1)
 	be.ho.report(be.now, be.now, "engine", endpoint.Load{BootID: "a"})
 	ask := &AcquireArgs{Group: be.ho.group, Instance: "entry-0", Sequence: 1, Key: "k"}
 	_, _ = be.ho.submit(be.now, ask)
@@ -118,71 +120,75 @@
 	be.ho.sync(be.now, "entry-0", gs)
 	rq, _ := be.ho.submit(be.now, &AcquireArgs{Group: be.ho.group, Instance: "entry-0", Sequence: 2, Key: "next"})
 	gm.Expect(rq.granted()).To(BeFalse())
-	gm.Expect(rq.refusal).To(BeNil(), "it waits, the endpoint is closed for a moment")
+	gm.Expect(rq.refusal).To(BeNil(), "the request must wait, because the endpoint is closed only temporarily")
 	be.now = be.now.Add(pollInterval)
 	be.ho.report(be.now, be.now, "engine", endpoint.Load{BootID: "b"})
 	be.ho.tick(be.now.Add(refreshInterval))
 	gm.Expect(rq.granted()).To(BeTrue())
 }
 
-// Places that were kept for a silent member are granted as soon as it is heard
-// again; giving them back is no failure of the endpoint.
+// Checks that places reserved for a silent member are granted as soon as it is
+// heard from again. Guards against counting the end of a reservation as a
+// failure of the endpoint.
 func TestKeptPlacesComeBack(t *testing.T) {
 	gm := NewWithT(t)
 	be := newBench(t, "entry-0", "entry-1")
-	be.hear("entry-0", 1)
-	be.hear("entry-1", 1)
+	be.syncFrom("entry-0", 1)
+	be.syncFrom("entry-1", 1)
 	be.now = be.now.Add(silenceLimit + refreshInterval)
-	be.hear("entry-0", 2)
+	be.syncFrom("entry-0", 2)
 	be.ho.tick(be.now)
-	gm.Expect(be.ho.holding["engine"]).To(BeNumerically(">", 0))
-	be.hear("entry-1", 2)
+	gm.Expect(be.ho.reserved["engine"]).To(BeNumerically(">", 0))
+	be.syncFrom("entry-1", 2)
 	be.ho.tick(be.now)
-	gm.Expect(be.ho.holding["engine"]).To(BeZero())
+	gm.Expect(be.ho.reserved["engine"]).To(BeZero())
 	gm.Expect(be.fill("entry-0", 2)).To(BeNumerically(">", 0))
 }
 
-// The share of a member that the platform lists no more is granted again after
-// departedGrace, but for what a report shows to run there on its behalf. The
-// share of a silent member that is listed stays kept.
+// Checks that the share of a member that the platform no longer lists is
+// granted again after departedGrace, except for the requests that a load
+// report shows to run there for it. The share of a silent member that is
+// listed stays reserved.
 func TestDelistedMemberIsNotKept(t *testing.T) {
 	gm := NewWithT(t)
 	be := newBench(t, "entry-0", "entry-1")
-	be.hear("entry-0", 1)
-	be.hear("entry-1", 1)
+	be.syncFrom("entry-0", 1)
+	be.syncFrom("entry-1", 1)
 	wait := func(du time.Duration, sequence int64) {
 		be.now = be.now.Add(du)
-		be.hear("entry-0", sequence)
+		be.syncFrom("entry-0", sequence)
 		be.ho.tick(be.now)
 	}
 	wait(time.Minute, 2)
-	share := be.ho.holding["engine"]
+	share := be.ho.reserved["engine"]
 	gm.Expect(share).To(BeNumerically(">", 0))
 	be.listed = []string{"entry-0"}
 	wait(refreshInterval, 3)
 	wait(departedGrace-time.Millisecond, 4)
-	gm.Expect(be.ho.holding["engine"]).To(Equal(share))
+	gm.Expect(be.ho.reserved["engine"]).To(Equal(share))
 	wait(refreshInterval, 5)
-	gm.Expect(be.ho.holding["engine"]).To(BeZero())
+	gm.Expect(be.ho.reserved["engine"]).To(BeZero())
 	be.ho.report(be.now, be.now, "engine", endpoint.Load{BootID: "b", Running: 2})
 	wait(refreshInterval, 6)
-	gm.Expect(be.ho.holding["engine"]).To(Equal(2))
+	gm.Expect(be.ho.reserved["engine"]).To(Equal(2))
 }
 
-// A new holder grants places at a plain service, which publishes no report,
-// although a member is not heard: all but that member's share.
+// Guards against a new holder that waits for load reports of a plain service,
+// which never come. Although one member has not been heard from, the holder
+// must grant all places except that member's share.
 func TestPlainServiceSettlesWithoutReports(t *testing.T) {
 	gm := NewWithT(t)
 	be := newBench(t, "entry-0", "entry-1")
 	be.ho.reporting = false
-	be.hear("entry-0", 1)
+	be.syncFrom("entry-0", 1)
 	granted := be.fill("entry-0", 1)
 	gm.Expect(granted).To(BeNumerically(">", 0))
-	gm.Expect(granted).To(BeNumerically("<=", sequences-be.ho.views().bound("entry-1", "engine", sequences)))
+	gm.Expect(granted).To(BeNumerically("<=", sequences-be.ho.views().maxShare("entry-1", "engine", sequences)))
 }
 
-// Once an instance counts on its share being kept free, the holder keeps it
-// free, however late its earlier messages arrive.
+// Guards against late messages that make a silent instance look connected.
+// Once an instance relies on the holder having reserved its share, the share
+// must be reserved however late its earlier messages arrive.
 func TestQuietIsNoticed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		be := newBench(t, "entry-0", "entry-1")
@@ -190,32 +196,32 @@
 		ms := rapid.IntRange(0, 1200)
 		var late []GroupSync
 		for range rapid.IntRange(1, 20).Draw(t, "messages") {
-			if li.due(be.now) {
-				gs := li.compose(be.now)
+			if li.syncDue(be.now) {
+				gs := li.beginSync(be.now)
 				if rapid.Bool().Draw(t, "late") {
 					late = append(late, gs)
-					li.failed()
+					li.syncFailed()
 				} else {
 					re := be.ho.sync(be.now, "entry-1", &gs)
 					if rapid.Bool().Draw(t, "answer lost") {
-						li.failed()
+						li.syncFailed()
 					} else {
-						li.answered(&gs, be.now, "holder", &re)
+						li.syncAnswered(&gs, be.now, "holder", &re)
 					}
 				}
 			} else if rapid.Bool().Draw(t, "probe") {
-				li.allow(be.now)
+				li.allowMessages(be.now)
 			}
 			be.now = be.now.Add(time.Duration(ms.Draw(t, "ms")) * time.Millisecond)
 		}
 		for range 100 {
-			if li.quiet(be.now) {
+			if li.silenceNoticed(be.now) {
 				break
 			}
 			be.now = be.now.Add(100 * time.Millisecond)
 		}
-		if !li.quiet(be.now) {
-			t.Fatal("a cut-off instance never falls back")
+		if !li.silenceNoticed(be.now) {
+			t.Fatal("a disconnected instance does not use its share 10 s after its last message")
 		}
 		for _, gs := range late {
 			be.ho.sync(be.now, "entry-1", &gs)
@@ -225,7 +231,7 @@
 				return
 			}
 		}
-		t.Fatal("the holder counts a quiet member as reached")
+		t.Fatal("the holder does not reserve the share of a member that relies on it")
 	})
 }
 
@@ -234,18 +240,19 @@
 	gt := newWorld(1, []string{"a"}, 1, 1).instances[0].gt
 	gr := Group{"a", service}
 	li := gt.link(gr)
-	li.allow(gt.Clock.Now())
-	_, may := li.begin(gt.Clock.Now(), "key")
+	li.allowMessages(gt.Clock.Now())
+	_, may := li.addWaiting(gt.Clock.Now(), "key")
 	gm.Expect(may).To(BeTrue())
 	var reply InFlightReply
 	gm.Expect(gt.Service().InFlight(&InFlightArgs{Group: gr, Address: "new", Epoch: 2}, &reply)).To(Succeed())
 	pl := &place{key: "key", tokens: new(atomic.Int64)}
-	gm.Expect(li.accept(pl, 1, "old")).To(BeFalse(), "the new holder was told that nothing runs here")
+	gm.Expect(li.accept(pl, 1, "old")).To(BeFalse(), "the new holder has been told that nothing is in flight here")
 	gm.Expect(li.accept(pl, 2, "new")).To(BeTrue())
 }
 
-// Instances cut off from each other and from the platform go on with their
-// shares, beyond the standing places, and never overload an endpoint together.
+// Checks that instances isolated from each other and from the platform keep
+// serving from their shares, beyond the fallback places, and together never
+// overload an endpoint.
 func TestCutOffInstancesServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gm := NewWithT(t)
@@ -273,10 +280,10 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		// The standing places alone, one at each of two endpoints, would give
-		// 120 s / 2 s * 2.
+		// The fallback places alone, one at each of two endpoints, would give
+		// 120 s / 2 s * 2 = 120.
 		gm.Expect(whole.Load()).To(BeNumerically(">", 120))
-		gm.Expect(wo.faults).To(BeEmpty())
+		gm.Expect(wo.violations).To(BeEmpty())
 		t.Logf("%d of %d requests served", whole.Load(), tried.Load())
 		cancel()
 		time.Sleep(30 * time.Second)
--- a/internal/allocation/link.go
+++ b/internal/allocation/link.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// SyncInterval is how often an instance tells holders what it has in
-	// flight.
+	// SyncInterval is the time between two syncs of an instance that has
+	// requests waiting or in flight.
 	SyncInterval = 100 * time.Millisecond
-	// keepAlive is the same for an instance with nothing in flight.
-	keepAlive = 500 * time.Millisecond
-	// detachAfter is the age of the last answered message from which on an
-	// instance counts itself as cut off from the holder.
-	detachAfter = time.Second
-	// warmWordLimit is how old a holder's word that an endpoint is warm may be
-	// when the next holder relies on it.
-	warmWordLimit = 15 * time.Second
-	// quietMargin is added to silenceLimit before an instance that sends
-	// nothing any more relies on the holder to have noticed.
-	quietMargin = 500 * time.Millisecond
+	// idleSyncInterval is the time between two syncs of an instance that has
+	// none.
+	idleSyncInterval = 500 * time.Millisecond
+	// disconnectedAfter is the age of the last answered sync at which an
+	// instance considers itself disconnected from the holder.
+	disconnectedAfter = time.Second
+	// warmStateMaxAge is how old the last answered sync may be for the next
+	// holder to rely on the warm state that it reported.
+	warmStateMaxAge = 15 * time.Second
+	// silenceMargin is added to silenceLimit before a silent instance relies
+	// on the holder having noticed its silence.
+	silenceMargin = 500 * time.Millisecond
 )
 
 // place is one request in flight from this instance.
@@ -34,33 +35,39 @@
 	endpoint string
 	url      string
 	suspect  bool
-	// standing places come from the share of the standing places.
-	standing bool
-	// whole places are sent with their request until the holder knows them.
-	whole  bool
-	tokens *atomic.Int64
+	// fallback places come from this instance's share of the fallback places.
+	fallback bool
+	// sendRequest is true as long as the holder may not know the place. Syncs
+	// then carry the endpoint and the whole request.
+	sendRequest bool
+	tokens      *atomic.Int64
 }
 
-// load is what a cut-off instance has seen of an endpoint.
-type load struct {
+// observedLoad is the last load of an endpoint that a disconnected instance
+// read.
+type observedLoad struct {
 	asked  time.Time
 	report endpoint.Load
-	// started are the instance's last starts there on its own.
+	// started contains the times at which this instance recently started
+	// requests there from its own share.
 	started []time.Time
 }
 
-// bootSeen is the boot id of an endpoint, and whether it proved warm under it.
-type bootSeen struct {
+// bootState is the boot id of an endpoint, and whether it has proved warm
+// since that boot.
+type bootState struct {
 	id   string
 	warm bool
 }
 
-// link is this instance's side of one group.
+// link is this instance's state for one group: its requests there and its
+// exchange with the group's holder.
 type link struct {
 	group Group
-	// own groups are those of this instance's zone, and of zones without
-	// instances. Their holders hear from it even when nothing is in flight.
-	own func() bool
+	// hasShare reports whether this instance has a share in the group. That is so
+	// for groups of its own zone and of zones without instances. Their holders
+	// get syncs from it even when it has nothing in flight.
+	hasShare func() bool
 
 	mu       sync.Mutex
 	sequence int64
@@ -70,43 +77,48 @@
 	waiting  map[string]bool
 	places   map[string]*place
 	ended    map[string]admission.Outcome
-	// changed is the sequence of the last list that lacks a change.
-	dirty bool
-	busy  bool
-	// acked is when the last answered list was sent, sent when any was.
+	// dirty is true if something has changed since the last sync was composed,
+	// or if that sync failed.
+	dirty        bool
+	syncInFlight bool
+	// acked is when the last answered sync was sent. sent is when the last
+	// sync was sent, answered or not.
 	acked time.Time
 	sent  time.Time
-	// try allows messages until then although the holder has not answered.
-	try         time.Time
-	boots       map[string]bootSeen
+	// sendUntil permits messages until then even though the holder has not
+	// answered lately.
+	sendUntil   time.Time
+	boots       map[string]bootState
 	bootVersion int64
-	loads       map[string]*load
+	loads       map[string]*observedLoad
 }
 
-func newLink(gr Group, now time.Time, own func() bool) *link {
+func newLink(gr Group, now time.Time, hasShare func() bool) *link {
 	return &link{
-		group: gr, own: own, sequence: now.UnixNano(), waiting: make(map[string]bool), places: make(map[string]*place),
-		ended: make(map[string]admission.Outcome), boots: make(map[string]bootSeen), loads: make(map[string]*load),
+		group: gr, hasShare: hasShare, sequence: now.UnixNano(), waiting: make(map[string]bool), places: make(map[string]*place),
+		ended: make(map[string]admission.Outcome), boots: make(map[string]bootState), loads: make(map[string]*observedLoad),
 	}
 }
 
-// attached tells whether the holder has answered lately.
-func (li *link) attached(now time.Time) bool { return now.Sub(li.acked) < detachAfter }
+// connected reports whether the holder has answered a recent sync.
+func (li *link) connected(now time.Time) bool { return now.Sub(li.acked) < disconnectedAfter }
 
-// maySend tells whether messages that bind the holder may be sent. An instance
-// that is cut off stays quiet, so that the holder keeps its share free.
+// maySend reports whether messages may be sent that show the holder that this
+// instance is connected. A disconnected instance stays silent, so that the
+// holder reserves its share.
 func (li *link) maySend(now time.Time) bool {
-	return li.attached(now) || now.Before(li.try)
+	return li.connected(now) || now.Before(li.sendUntil)
 }
 
-// quiet tells whether a holder, if there is one, keeps this instance's share
-// free by now.
-func (li *link) quiet(now time.Time) bool {
-	return !li.maySend(now) && now.Sub(li.sent) > silenceLimit+quietMargin
+// silenceNoticed reports whether this instance has been silent for so long
+// that the holder, if there is one, has reserved its share.
+func (li *link) silenceNoticed(now time.Time) bool {
+	return !li.maySend(now) && now.Sub(li.sent) > silenceLimit+silenceMargin
 }
 
-// begin lists a key as waiting and returns the sequence to ask with.
-func (li *link) begin(now time.Time, key string) (int64, bool) {
+// addWaiting adds a key to the waiting ones and returns the sequence to put
+// into the Acquire call. It returns false if the holder must not be called.
+func (li *link) addWaiting(now time.Time, key string) (int64, bool) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	if !li.maySend(now) {
@@ -116,8 +128,9 @@
 	return li.sequence, true
 }
 
-// leave gives up a key that may be waiting.
-func (li *link) leave(key string) {
+// withdraw removes a key from the waiting ones. The holder drops the request
+// when the next sync does not contain the key.
+func (li *link) withdraw(key string) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	if li.waiting[key] {
@@ -126,29 +139,31 @@
 	}
 }
 
-// accept turns a grant into a place, unless a newer holder has been told
-// already what is in flight here, or the caller has left.
+// accept turns a grant into a place. It returns false if a newer holder has
+// already been told what is in flight here, or if the caller has left.
 func (li *link) accept(pl *place, epoch int64, address string) bool {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	if epoch < li.epoch || !li.waiting[pl.key] {
 		return false
 	}
-	li.meet(epoch, address)
+	li.setHolder(epoch, address)
 	delete(li.waiting, pl.key)
 	li.places[pl.key] = pl
 	return true
 }
 
-// meet notes the holder of an epoch.
-func (li *link) meet(epoch int64, address string) {
+// setHolder records the holder of a newer epoch, to which the earlier stamp and
+// boot version do not apply. It ignores older or equal epochs.
+func (li *link) setHolder(epoch int64, address string) {
 	if epoch <= li.epoch {
 		return
 	}
 	li.epoch, li.address, li.stamp, li.bootVersion = epoch, address, 0, 0
 }
 
-// finish gives a place back.
+// finish removes a place. Its outcome is sent with each sync until one is
+// answered.
 func (li *link) finish(key string, ou admission.Outcome) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
@@ -160,26 +175,29 @@
 	li.dirty = true
 }
 
-// due tells whether a list has to be sent now.
-func (li *link) due(now time.Time) bool {
+// syncDue reports whether a sync has to be sent now.
+func (li *link) syncDue(now time.Time) bool {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	if li.busy || !li.maySend(now) {
+	if li.syncInFlight || !li.maySend(now) {
 		return false
 	}
 	content := len(li.waiting)+len(li.places) > 0 || li.dirty
-	return content || (li.own() && now.Sub(li.sent) >= keepAlive)
+	return content || (li.hasShare() && now.Sub(li.sent) >= idleSyncInterval)
 }
 
-// compose returns the list of all that is in flight.
-func (li *link) compose(now time.Time) GroupSync {
+// beginSync returns the next sync. No other is sent until syncFailed or
+// syncAnswered is called.
+func (li *link) beginSync(now time.Time) GroupSync {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	li.busy = true
-	return li.list(now)
+	li.syncInFlight = true
+	return li.nextSync(now)
 }
 
-func (li *link) list(now time.Time) GroupSync {
+// nextSync returns everything that is in flight under a new sequence number.
+// The caller holds mu.
+func (li *link) nextSync(now time.Time) GroupSync {
 	li.sequence++
 	li.sent, li.dirty = now, false
 	gs := GroupSync{Group: li.group, Sequence: li.sequence, Stamp: li.stamp, Epoch: li.epoch, BootVersion: li.bootVersion}
@@ -189,7 +207,7 @@
 	slices.Sort(gs.Waiting)
 	for _, pl := range li.places {
 		ps := PlaceSync{Key: pl.key, Tokens: pl.tokens.Load(), Suspect: pl.suspect}
-		if pl.whole {
+		if pl.sendRequest {
 			ps.Endpoint, ps.Request = pl.endpoint, &pl.re
 		}
 		gs.Places = append(gs.Places, ps)
@@ -200,51 +218,52 @@
 	return gs
 }
 
-// failed notes that a list got no answer.
-func (li *link) failed() {
+// syncFailed records that a sync got no answer.
+func (li *link) syncFailed() {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	li.busy, li.dirty = false, true
+	li.syncInFlight, li.dirty = false, true
 }
 
-// answered takes in the holder's answer to a list.
-func (li *link) answered(gs *GroupSync, sent time.Time, address string, re *GroupReply) {
+// syncAnswered processes the holder's answer to a sync.
+func (li *link) syncAnswered(gs *GroupSync, sent time.Time, address string, re *GroupReply) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	li.busy = false
+	li.syncInFlight = false
 	if re.Failure != "" || re.Epoch < li.epoch {
 		li.dirty = true
 		return
 	}
-	li.meet(re.Epoch, address)
+	li.setHolder(re.Epoch, address)
 	li.stamp, li.acked = max(li.stamp, re.Stamp), sent
 	for _, en := range gs.Ended {
 		delete(li.ended, en.Key)
 	}
 	for _, ps := range gs.Places {
 		if pl, found := li.places[ps.Key]; found {
-			pl.whole = false
+			pl.sendRequest = false
 		}
 	}
 	for _, key := range re.Unknown {
 		if pl, found := li.places[key]; found {
-			pl.whole = true
+			pl.sendRequest = true
 		}
 	}
 	if re.BootVersion != li.bootVersion {
 		li.bootVersion = re.BootVersion
 		for _, bo := range re.Boots {
-			li.boots[bo.Endpoint] = bootSeen{id: bo.ID, warm: bo.Warm}
+			li.boots[bo.Endpoint] = bootState{id: bo.ID, warm: bo.Warm}
 		}
 	}
 }
 
-// warm returns the boot ids of the endpoints that the last holder called warm,
-// if it did so lately.
-func (li *link) warm(now time.Time) map[string]string {
+// warmBoots returns the boot ids of the endpoints that the last holder
+// reported as warm. It returns nil if the last answer of the holder is too
+// old.
+func (li *link) warmBoots(now time.Time) map[string]string {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	if now.Sub(li.acked) > warmWordLimit {
+	if now.Sub(li.acked) > warmStateMaxAge {
 		return nil
 	}
 	warm := make(map[string]string)
@@ -256,26 +275,29 @@
 	return warm
 }
 
-// allow permits messages to the holder of a group of another zone, where this
-// instance has no share that the holder would keep free.
-func (li *link) allow(now time.Time) {
+// allowMessages permits messages to the holder for disconnectedAfter. It is
+// called when a probe was answered, and for groups in which this instance has
+// no share that the holder would reserve.
+func (li *link) allowMessages(now time.Time) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	li.try = now.Add(detachAfter)
+	li.sendUntil = now.Add(disconnectedAfter)
 }
 
-// holder returns where the group's holder was last heard.
-func (li *link) holder() (address string, epoch int64) {
+// lastHolder returns the peer address and epoch of the newest holder that this
+// instance has exchanged messages with.
+func (li *link) lastHolder() (address string, epoch int64) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	return li.address, li.epoch
 }
 
-// running counts this instance's places at an endpoint.
-func (li *link) running(name string, standing bool) int {
+// running counts this instance's places at an endpoint, or only its fallback
+// places there. The caller holds mu.
+func (li *link) running(name string, fallbackOnly bool) int {
 	count := 0
 	for _, pl := range li.places {
-		if pl.endpoint == name && (pl.standing || !standing) {
+		if pl.endpoint == name && (pl.fallback || !fallbackOnly) {
 			count++
 		}
 	}
--- a/internal/allocation/contact.go
+++ b/internal/allocation/member_sync.go
@@ -6,11 +6,12 @@
 	"filbertstall.example/filbertstall/internal/admission"
 )
 
-// deadlineGrace is how long after its deadline a request of a silent member
-// may still run.
+// deadlineGrace is how long past its deadline a request of a silent member may
+// still be running.
 const deadlineGrace = 5 * time.Second
 
-// sync takes in what a member has in flight. Lists that come late are ignored.
+// sync processes what a member has in flight. A message that was overtaken by
+// a newer one is rejected as stale.
 func (ho *holder) sync(now time.Time, instance string, gs *GroupSync) GroupReply {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -30,7 +31,7 @@
 	}
 	co.sequence = gs.Sequence
 	if gs.Epoch == ho.epoch && gs.Stamp > 0 {
-		co.heard = ho.since.Add(time.Duration(gs.Stamp - 1))
+		co.lastSeen = ho.since.Add(time.Duration(gs.Stamp - 1))
 	}
 	ho.finish(now, gs.Ended)
 	reply.Unknown = ho.adopt(now, instance, gs)
@@ -43,18 +44,19 @@
 	return reply
 }
 
+// finish removes the requests that a member has ended.
 func (ho *holder) finish(now time.Time, list []EndedSync) {
 	for _, en := range list {
 		if rq, found := ho.requests[en.Key]; found {
 			if en.Outcome.Result == admission.Lost || en.Outcome.Result == admission.NotBegun {
-				ho.doubt(now, rq.endpoint)
+				ho.markFailed(now, rq.endpoint)
 			}
 			ho.drop(now, en.Key, en.Outcome)
 		}
 	}
 }
 
-// drop forgets a request, waiting or granted.
+// drop removes a request, waiting or granted.
 func (ho *holder) drop(now time.Time, key string, ou admission.Outcome) {
 	rq := ho.requests[key]
 	delete(ho.requests, key)
@@ -65,8 +67,9 @@
 	ho.core.Withdraw(now, key)
 }
 
-// adopt counts the member's requests in flight and returns the keys of those
-// that it must send whole.
+// adopt counts the member's requests in flight, including those that another
+// holder granted. It returns the keys that the holder does not know and that
+// were sent without their request.
 func (ho *holder) adopt(now time.Time, instance string, gs *GroupSync) []string {
 	var unknown []string
 	for _, pl := range gs.Places {
@@ -94,8 +97,8 @@
 	return unknown
 }
 
-// dropUnlisted gives back what the member asked for before it made the list,
-// and does not list: it has given up.
+// dropUnlisted drops the member's requests that precede this sync and are
+// missing from it, because the member has given them up.
 func (ho *holder) dropUnlisted(now time.Time, instance string, gs *GroupSync) {
 	listed := make(map[string]bool, len(gs.Waiting)+len(gs.Places))
 	for _, key := range gs.Waiting {
@@ -111,35 +114,38 @@
 	}
 }
 
-// expire drops waiting requests that nobody asks for any more, and the granted
-// ones of members that are silent for long. None of this says that an endpoint
-// failed.
+// expire drops waiting requests that are no longer asked for, and granted
+// requests of silent members that have presumably ended. Neither counts as a
+// failure of the endpoint.
 func (ho *holder) expire(now time.Time) {
 	for key, rq := range ho.requests {
 		if !rq.granted() {
-			if now.Sub(rq.asked) > askLimit {
+			if now.Sub(rq.asked) > waitingExpiry {
 				ho.drop(now, key, admission.Outcome{Result: admission.Canceled})
 			}
 			continue
 		}
-		if ho.over(now, rq) {
+		if ho.presumedEnded(now, rq) {
 			ho.drop(now, key, admission.Outcome{Result: admission.Canceled})
 		}
 	}
 }
 
-// over tells whether a request of a silent member no longer runs: its deadline
-// is past, or the endpoint reports no more than what others have there.
-func (ho *holder) over(now time.Time, rq *request) bool {
-	heard := ho.since
-	if rq.asked.After(heard) {
-		heard = rq.asked
-	}
-	if co, found := ho.contacts[rq.instance]; found && co.heard.After(heard) {
-		heard = co.heard
-	}
-	silence := now.Sub(heard)
-	if silence < deadAfter {
+// presumedEnded reports whether a request of a member that has been silent for
+// memberDeadAfter no longer runs: its deadline has passed by more than
+// deadlineGrace, or a recent report of the endpoint shows no more requests
+// than other members have there. At an endpoint without reports, it counts as
+// ended after unreportedDeadAfter.
+func (ho *holder) presumedEnded(now time.Time, rq *request) bool {
+	lastSeen := ho.since
+	if rq.asked.After(lastSeen) {
+		lastSeen = rq.asked
+	}
+	if co, found := ho.contacts[rq.instance]; found && co.lastSeen.After(lastSeen) {
+		lastSeen = co.lastSeen
+	}
+	silence := now.Sub(lastSeen)
+	if silence < memberDeadAfter {
 		return false
 	}
 	if !rq.re.Deadline.IsZero() && now.Sub(rq.re.Deadline) > deadlineGrace {
@@ -147,14 +153,14 @@
 	}
 	re, found := ho.reports[rq.endpoint]
 	if !found {
-		return silence > unreportedAfter
+		return silence > unreportedDeadAfter
 	}
-	fresh := re.at.Sub(heard) > deadAfter-reportLag
+	fresh := re.at.Sub(lastSeen) > memberDeadAfter-maxReportLag
 	return fresh && re.total <= ho.runningOfOthers(rq)
 }
 
 // runningOfOthers counts the granted requests at the endpoint of rq that
-// belong to members with contact.
+// belong to other members.
 func (ho *holder) runningOfOthers(rq *request) int {
 	count := 0
 	for _, it := range ho.requests {
--- a/internal/allocation/members.go
+++ b/internal/allocation/members.go
@@ -11,11 +11,13 @@
 	"filbertstall.example/filbertstall/internal/platform"
 )
 
-// membersInterval is how often the platform's list is read.
+// membersInterval is the time between two reads of the platform's list of
+// instances.
 const membersInterval = time.Second
 
-// Poller is a Members that reads the platform's list. It keeps the last list
-// while the platform does not answer. Set the fields before Run.
+// Poller implements Members by polling the platform's list of instances. While
+// the platform does not answer, it serves the last list that it read. The
+// fields must be set before Run.
 type Poller struct {
 	Store platform.Store
 	Clock clockwork.Clock
@@ -26,7 +28,8 @@
 // Name implements controller.Controller.
 func (po *Poller) Name() string { return "members" }
 
-// Members implements Members.
+// Members implements Members. It returns nil until the first list has been
+// read.
 func (po *Poller) Members() []platform.Instance {
 	if list := po.list.Load(); list != nil {
 		return slices.Clone(*list)
@@ -34,7 +37,7 @@
 	return nil
 }
 
-// Run reads the list until ctx ends.
+// Run polls the list until ctx ends.
 func (po *Poller) Run(ctx context.Context) error {
 	for {
 		if list, err := po.Store.Instances(ctx); err == nil {
--- a/internal/allocation/poll.go
+++ b/internal/allocation/poll.go
@@ -8,9 +8,10 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// reports tells whether a service's endpoints publish load reports. Plain
-// services do not: to them each request is a call.
-func (gt *Granter) reports(service string) bool {
+// reportsLoad reports whether the endpoints of a service publish load reports.
+// Endpoints of plain services do not, and would take the poll for an ordinary
+// request.
+func (gt *Granter) reportsLoad(service string) bool {
 	cf := gt.Configuration.Load()
 	if cf == nil {
 		return false
@@ -19,12 +20,13 @@
 	return found && se.Type == kind.ServiceModel
 }
 
-// poll asks the endpoints of the groups held here for load and cache events.
+// poll reads the load and the cache events of all endpoints of the groups
+// whose lease this instance holds.
 func (gt *Granter) poll(context.Context) {
 	cf := gt.Configuration.Load()
 	var eg errgroup.Group
-	for _, ho := range gt.held() {
-		if !gt.reports(ho.group.Service) {
+	for _, ho := range gt.activeHolders() {
+		if !gt.reportsLoad(ho.group.Service) {
 			continue
 		}
 		for _, en := range ho.group.endpoints(cf) {
@@ -41,7 +43,7 @@
 	asked := gt.Clock.Now()
 	lo, err := gt.Endpoints.Load(en.URL)
 	if err != nil {
-		ho.unreported(gt.Clock.Now(), en.Name)
+		ho.pollFailed(gt.Clock.Now(), en.Name)
 		return
 	}
 	ho.report(asked, gt.Clock.Now(), en.Name, lo)
@@ -51,18 +53,19 @@
 	}
 }
 
-// pollAlone asks the endpoints of groups whose holder is out of reach.
-func (gt *Granter) pollAlone(context.Context) {
+// pollDisconnected reads the load of the endpoints of groups whose holder
+// cannot be reached. Grants from this instance's own share depend on it.
+func (gt *Granter) pollDisconnected(context.Context) {
 	cf := gt.Configuration.Load()
 	now := gt.Clock.Now()
 	var eg errgroup.Group
-	for _, li := range gt.linkList() {
-		if !li.own() || li.sending(now) || !gt.reports(li.group.Service) {
+	for _, li := range gt.allLinks() {
+		if !li.hasShare() || li.sending(now) || !gt.reportsLoad(li.group.Service) {
 			continue
 		}
 		for _, en := range li.group.endpoints(cf) {
 			eg.Go(func() error {
-				gt.pollOne(li, en)
+				gt.pollForLink(li, en)
 				return nil
 			})
 		}
@@ -70,7 +73,7 @@
 	_ = eg.Wait()
 }
 
-func (gt *Granter) pollOne(li *link, en kind.Endpoint) {
+func (gt *Granter) pollForLink(li *link, en kind.Endpoint) {
 	asked := gt.Clock.Now()
 	report, err := gt.Endpoints.Load(en.URL)
 	if err != nil {
@@ -80,7 +83,7 @@
 	defer li.mu.Unlock()
 	lo, found := li.loads[en.Name]
 	if !found {
-		lo = &load{}
+		lo = &observedLoad{}
 		li.loads[en.Name] = lo
 	}
 	lo.asked, lo.report = asked, report
--- a/internal/allocation/run.go
+++ b/internal/allocation/run.go
@@ -12,44 +12,51 @@
 )
 
 const (
-	// leaseInterval is how often leases and members are read.
+	// leaseInterval is the time between two reads of the leases and members.
 	leaseInterval = time.Second
-	// tickInterval is how often a holder looks what is due by time.
+	// tickInterval is the time between two checks of a holder for expired
+	// requests and for decisions that are due.
 	tickInterval = 25 * time.Millisecond
-	// pollInterval is how often a holder asks endpoints for their load.
+	// pollInterval is the time between two load polls of a holder.
 	pollInterval = 250 * time.Millisecond
-	// alonePollInterval is the same for a cut-off instance.
-	alonePollInterval = time.Second
-	// probeInterval is how often a cut-off instance looks for the holder.
+	// disconnectedPollInterval is the time between two load polls of an
+	// instance that cannot reach the holder.
+	disconnectedPollInterval = time.Second
+	// probeInterval is the time between two probes of a holder that does not
+	// answer.
 	probeInterval = 500 * time.Millisecond
-	// settleInterval is how often an unsettled member view is compared.
-	settleInterval = 2 * time.Second
-	// messageTimeout bounds a message without waiting.
+	// viewConfirmInterval is the time between two comparisons of an
+	// unconfirmed member view with the other members.
+	viewConfirmInterval = 2 * time.Second
+	// messageTimeout limits calls to other instances that return without
+	// waiting for a decision.
 	messageTimeout = 500 * time.Millisecond
-	// turnDelay keeps the instances of a zone from taking all leases alike:
-	// each waits its rank in the lease's rendezvous order times this.
-	turnDelay = time.Second
+	// takeoverStagger spreads the leases over the instances of a zone. After
+	// its start, an instance waits this long for each candidate that precedes
+	// it in the lease's rendezvous order before it tries to take the lease.
+	takeoverStagger = time.Second
 )
 
 // Name implements controller.Controller.
 func (gt *Granter) Name() string { return "allocation" }
 
-// Run keeps leases, tells holders what is in flight and, for groups that this
-// instance holds, decides. It returns when ctx ends.
+// Run renews and takes leases, reports requests in flight to the holders, and
+// decides for the groups whose lease this instance holds. It returns when ctx
+// ends.
 func (gt *Granter) Run(ctx context.Context) error {
 	gt.prepare()
 	eg, ctx := errgroup.WithContext(ctx)
 	eg.Go(func() error { return gt.every(ctx, leaseInterval, gt.keepLeases) })
 	eg.Go(func() error { return gt.every(ctx, tickInterval, gt.tick) })
 	eg.Go(func() error { return gt.every(ctx, pollInterval, gt.poll) })
-	eg.Go(func() error { return gt.every(ctx, alonePollInterval, gt.pollAlone) })
-	eg.Go(func() error { return gt.every(ctx, probeInterval, gt.probe) })
-	eg.Go(func() error { return gt.every(ctx, settleInterval, gt.settle) })
+	eg.Go(func() error { return gt.every(ctx, disconnectedPollInterval, gt.pollDisconnected) })
+	eg.Go(func() error { return gt.every(ctx, probeInterval, gt.probeHolders) })
+	eg.Go(func() error { return gt.every(ctx, viewConfirmInterval, gt.confirmViews) })
 	eg.Go(func() error { return gt.syncLoop(ctx) })
 	return eg.Wait()
 }
 
-// every runs step now and after each interval until ctx ends.
+// every runs step now and then once per interval until ctx ends.
 func (gt *Granter) every(ctx context.Context, interval time.Duration, step func(ctx context.Context)) error {
 	ticker := gt.Clock.NewTicker(interval)
 	defer ticker.Stop()
@@ -63,7 +70,9 @@
 	}
 }
 
-// Leave gives all leases back, for a planned stop. Others grant from then on.
+// Leave releases all leases for a graceful shutdown, so that other instances
+// can take them at once instead of waiting for them to expire. This instance
+// takes no lease after it.
 func (gt *Granter) Leave(ctx context.Context) {
 	gt.prepare()
 	gt.leaving.Store(true)
@@ -76,12 +85,13 @@
 	gt.mu.Unlock()
 	for _, le := range leases {
 		if err := le.Release(ctx); err != nil {
-			gt.Log.Warn().Err(err).Msg("allocation: lease not given back")
+			gt.Log.Warn().Err(err).Msg("allocation: releasing a lease failed; it stays taken until it expires")
 		}
 	}
 }
 
-// keepLeases reads members and leases and takes or renews what is due.
+// keepLeases reads the members and leases, and takes or renews the leases for
+// which that is due.
 func (gt *Granter) keepLeases(ctx context.Context) {
 	cf := gt.Configuration.Load()
 	if cf == nil {
@@ -92,7 +102,7 @@
 	gt.updateViews(cf)
 	listing, err := gt.Store.List(ctx, leasePrefix)
 	if err != nil {
-		gt.Log.Warn().Err(err).Msg("allocation: leases not read")
+		gt.Log.Warn().Err(err).Msg("allocation: listing the leases failed; keeping the last known records")
 	} else {
 		gt.observe(cf, listing.Objects)
 	}
@@ -106,6 +116,8 @@
 	_ = eg.Wait()
 }
 
+// observe passes the stored lease records to the leases and remembers the last
+// record of each group.
 func (gt *Granter) observe(cf *kind.Configuration, list []platform.Object) {
 	found := make(map[Group]platform.Object, len(list))
 	for _, ob := range list {
@@ -116,7 +128,7 @@
 	for _, gr := range groups(cf) {
 		le := gt.lease(gr)
 		if err := le.Observe(found[gr]); err != nil {
-			gt.Log.Error().Err(err).Msg("allocation: lease not understood")
+			gt.Log.Error().Err(err).Msg("allocation: reading a lease record failed; ignoring the record")
 			continue
 		}
 		if re, held := le.Current(); held {
@@ -138,16 +150,17 @@
 	return le
 }
 
-// keepLease takes or renews one lease and starts or ends its decision core.
+// keepLease takes or renews one lease. It starts a decision core when this
+// instance has gained the lease and removes it when the lease is lost.
 func (gt *Granter) keepLease(ctx context.Context, gr Group) {
 	le := gt.lease(gr)
-	warm := gt.link(gr).warm(gt.Clock.Now())
+	warm := gt.link(gr).warmBoots(gt.Clock.Now())
 	_, held := le.Held()
 	if !held && !gt.mayTake(gr) {
 		return
 	}
 	if err := le.Act(ctx); err != nil {
-		gt.Log.Warn().Err(err).Msg("allocation: lease not kept")
+		gt.Log.Warn().Err(err).Msg("allocation: taking or renewing a lease failed; trying again at the next interval")
 	}
 	epoch, held := le.Held()
 	gt.mu.Lock()
@@ -159,7 +172,7 @@
 	if fresh {
 		ho = (&holder{
 			group: gr, epoch: epoch, since: gt.Clock.Now(), current: gt.Configuration.Load, warm: warm,
-			views: func() *views { return gt.viewsOf(gr.Zone) }, listed: gt.listed, reporting: gt.reports(gr.Service),
+			views: func() *views { return gt.viewsOf(gr.Zone) }, listed: gt.listed, reporting: gt.reportsLoad(gr.Service),
 			held: func() bool {
 				current, held := le.Held()
 				return held && current == epoch
@@ -169,29 +182,29 @@
 	}
 	gt.mu.Unlock()
 	if fresh {
-		gt.Log.Info().Str("group", gr.String()).Int64("epoch", epoch).Msg("allocation: holds the lease")
-		gt.collect(ctx, ho)
+		gt.Log.Info().Str("group", gr.String()).Int64("epoch", epoch).Msg("allocation: took the lease; starting the decision core")
+		gt.collectInFlight(ctx, ho)
 	}
 }
 
-// mayTake tells whether it is this instance's turn to try for a lease.
+// mayTake reports whether this instance may try to take a group's lease now.
 func (gt *Granter) mayTake(gr Group) bool {
-	if gt.leaving.Load() || !gt.responsible(gr.Zone) {
+	if gt.leaving.Load() || !gt.isCandidate(gr.Zone) {
 		return false
 	}
 	rank := 0
-	own := rendezvous(gr.String(), gt.Instance)
+	own := rendezvousScore(gr.String(), gt.Instance)
 	for _, name := range gt.viewsOf(gr.Zone).newest() {
-		if rendezvous(gr.String(), name) < own {
+		if rendezvousScore(gr.String(), name) < own {
 			rank++
 		}
 	}
-	return gt.Clock.Since(gt.began) >= time.Duration(rank)*turnDelay
+	return gt.Clock.Since(gt.began) >= time.Duration(rank)*takeoverStagger
 }
 
-// collect asks the members what they have in flight, so that the new holder
-// need not wait for their next lists.
-func (gt *Granter) collect(ctx context.Context, ho *holder) {
+// collectInFlight asks all members what they have in flight, so that the new
+// holder does not have to wait for their next sync.
+func (gt *Granter) collectInFlight(ctx context.Context, ho *holder) {
 	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
 	var eg errgroup.Group
@@ -208,7 +221,7 @@
 	_ = eg.Wait()
 }
 
-func (gt *Granter) held() []*holder {
+func (gt *Granter) activeHolders() []*holder {
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
 	list := make([]*holder, 0, len(gt.holders))
@@ -219,7 +232,7 @@
 }
 
 func (gt *Granter) tick(context.Context) {
-	for _, ho := range gt.held() {
+	for _, ho := range gt.activeHolders() {
 		ho.tick(gt.Clock.Now())
 	}
 }
--- a/internal/allocation/service.go
+++ b/internal/allocation/service.go
@@ -4,16 +4,19 @@
 	"time"
 )
 
-// Service is the net/rpc side of a Granter.
+// Service exposes a Granter to other instances over net/rpc.
 type Service struct{ gt *Granter }
 
-// Service returns what peer.Server registers under ServiceName.
+// Service returns the receiver to register with peer.Server under ServiceName.
 func (gt *Granter) Service() *Service { return &Service{gt: gt} }
 
-// maxWait bounds how long a holder keeps a call waiting.
+// maxWait limits how long a holder keeps an Acquire call open. The caller
+// repeats the call with the same key until the request is decided.
 const maxWait = time.Second
 
-// Acquire asks for a place and waits for it a while.
+// Acquire requests a place and waits for the decision for at most args.Wait,
+// limited to maxWait. A request that is still undecided by then is reported as
+// pending and stays queued.
 func (se *Service) Acquire(args *AcquireArgs, reply *AcquireReply) error {
 	ho := se.gt.holder(args.Group)
 	if ho == nil {
@@ -31,11 +34,12 @@
 	case <-rq.done:
 	case <-timer.Chan():
 	}
-	*reply = ho.answer(rq)
+	*reply = ho.replyTo(rq)
 	return nil
 }
 
-// Sync takes in what an instance has in flight.
+// Sync processes the requests that an instance has in flight, for each of the
+// groups in args.
 func (se *Service) Sync(args *SyncArgs, reply *SyncReply) error {
 	for ix := range args.Groups {
 		gs := &args.Groups[ix]
@@ -49,8 +53,9 @@
 	return nil
 }
 
-// InFlight tells a new holder what this instance has in flight. Grants of
-// earlier holders whose answers are still under way are not accepted after it.
+// InFlight tells a new holder what this instance has in flight. After it has
+// answered, this instance rejects grants of earlier epochs that are still on
+// the way, because the new holder does not know about them.
 func (se *Service) InFlight(args *InFlightArgs, reply *InFlightReply) error {
 	li := se.gt.link(args.Group)
 	now := se.gt.Clock.Now()
@@ -59,18 +64,18 @@
 	if args.Epoch < li.epoch {
 		return nil
 	}
-	li.meet(args.Epoch, args.Address)
+	li.setHolder(args.Epoch, args.Address)
 	li.stamp = max(li.stamp, args.Stamp)
-	li.try = now.Add(detachAfter)
+	li.sendUntil = now.Add(disconnectedAfter)
 	for _, pl := range li.places {
-		pl.whole = true
+		pl.sendRequest = true
 	}
-	reply.Sync = li.list(now)
+	reply.Sync = li.nextSync(now)
 	li.dirty = true
 	return nil
 }
 
-// Probe tells whether this instance holds a group's lease.
+// Probe reports whether this instance holds a group's lease.
 func (se *Service) Probe(args *ProbeArgs, reply *ProbeReply) error {
 	if ho := se.gt.holder(args.Group); ho != nil {
 		reply.Epoch, reply.Held = ho.epoch, ho.held()
@@ -78,10 +83,10 @@
 	return nil
 }
 
-// View tells this instance's newest member view of a zone.
+// View returns the newest member view that this instance has of a zone.
 func (se *Service) View(args *ViewArgs, reply *ViewReply) error {
 	se.gt.prepare()
 	vi := se.gt.viewsOf(args.Zone)
-	reply.Members, reply.Closed = vi.newest(), vi.closed(se.gt.Clock.Now())
+	reply.Members, reply.Closed = vi.newest(), vi.coversOlder(se.gt.Clock.Now())
 	return nil
 }
--- a/internal/allocation/share.go
+++ b/internal/allocation/share.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// viewWindow is how long replaced views count beyond the last two.
+	// viewWindow is how long a replaced view still counts, in addition to the
+	// last two views.
 	viewWindow = 10 * time.Second
-	// keptViews is how many views count at least, however old they are.
-	keptViews = 2
-	// departedAfter is how long after it left the list an instance may still
-	// use a share.
-	departedAfter = 10 * time.Minute
+	// minViews is the number of views that count regardless of their age.
+	minViews = 2
+	// departedShareLifetime is how long an instance may still use a share
+	// after it has left the list.
+	departedShareLifetime = 10 * time.Minute
 )
 
-// view is a list of members and when it was first seen.
+// view is a list of members and the time at which it was first seen.
 type view struct {
 	from    time.Time
 	members []string
@@ -26,45 +27,46 @@
 // views are the newest member views of one zone, oldest first. They are
 // immutable.
 //
-// An instance takes its share from the union of its last views, and takes none
-// unless all of them, two at least, contain it. Let V be a view that all
-// instances have among their last ones; it exists if their newest views are at
-// most one version apart. Whoever takes a share is in V. A union has at least
-// V's members, so the instance's rank in it is no better than in V and the
-// number of members no lower, and its share is at most its share by V. The
-// shares by V add up to the whole.
+// An instance computes its share from the union of its last views. It takes
+// none unless it has at least two views and all of them contain it. Let V be a
+// view that all instances have among their last ones. It exists if their
+// newest views are at most one version apart. Every instance that takes a
+// share is in V. A union contains at least V's members, so the instance's rank
+// in it is no better than in V and the number of members is no lower, and its
+// share is at most its share by V. The shares by V add up to all places.
 //
-// One view alone counts once it is settled: all its members have it as their
-// newest, and none remembers an instance that is not in it.
+// A single view counts once it is confirmed: all its members have it as their
+// newest view, and none of them remembers an instance that is not in it.
 type views struct {
-	list    []view
-	settled bool
+	list      []view
+	confirmed bool
 }
 
-// with returns the views after the platform listed members at now.
+// with returns the views after the platform listed members at now. Views that
+// no longer count are dropped.
 func (vi *views) with(now time.Time, members []string) *views {
 	members = slices.Sorted(slices.Values(members))
 	if slices.Equal(vi.newest(), members) {
 		return vi
 	}
 	next := &views{list: append(slices.Clone(vi.list), view{from: now, members: members})}
-	for len(next.list) > keptViews && now.Sub(next.list[1].from) > viewWindow {
+	for len(next.list) > minViews && now.Sub(next.list[1].from) > viewWindow {
 		next.list = next.list[1:]
 	}
 	return next
 }
 
-// withSettled returns the newest view alone, settled.
-func (vi *views) withSettled() *views {
-	return &views{list: vi.list[len(vi.list)-1:], settled: true}
+// withConfirmed returns only the newest view, marked as confirmed.
+func (vi *views) withConfirmed() *views {
+	return &views{list: vi.list[len(vi.list)-1:], confirmed: true}
 }
 
-// closed tells whether no older view has a member that the newest lacks and
-// that may still use a share.
-func (vi *views) closed(now time.Time) bool {
+// coversOlder reports whether the newest view contains every member of the
+// older views that may still use a share. It is false if there is no view.
+func (vi *views) coversOlder(now time.Time) bool {
 	newest := vi.newest()
 	for ix := 0; ix+1 < len(vi.list); ix++ {
-		if now.Sub(vi.list[ix+1].from) > departedAfter {
+		if now.Sub(vi.list[ix+1].from) > departedShareLifetime {
 			continue
 		}
 		for _, name := range vi.list[ix].members {
@@ -76,7 +78,8 @@
 	return len(newest) > 0
 }
 
-// newest returns the newest view's members.
+// newest returns the members of the newest view, sorted, or nil if there is
+// none.
 func (vi *views) newest() []string {
 	if len(vi.list) == 0 {
 		return nil
@@ -85,10 +88,10 @@
 }
 
 // share returns how many of an endpoint's places the instance may use on its
-// own. It is zero while only one view is known that is not settled, since others
-// may still have the one before, which lacks the instance.
+// own. It is zero while only one, unconfirmed view is known, because other
+// instances may still have the view before it, which may lack the instance.
 func (vi *views) share(instance, endpoint string, places int) int {
-	if len(vi.list) < keptViews && !vi.settled {
+	if len(vi.list) < minViews && !vi.confirmed {
 		return 0
 	}
 	for _, it := range vi.list {
@@ -109,8 +112,8 @@
 	return slices.Compact(union)
 }
 
-// bound returns the most that another instance's share can be.
-func (vi *views) bound(instance, endpoint string, places int) int {
+// maxShare returns an upper bound on another instance's share.
+func (vi *views) maxShare(instance, endpoint string, places int) int {
 	most := 0
 	for _, it := range vi.list {
 		if slices.Contains(it.members, instance) {
@@ -120,13 +123,14 @@
 	return most
 }
 
-// shareOf deals places in turn to members in the endpoint's rendezvous order:
-// each gets places/len(members), the first ones one more.
+// shareOf distributes places round-robin over the members in the endpoint's
+// rendezvous order: each member gets places/len(members), and the first
+// places%len(members) members get one more.
 func shareOf(members []string, instance, endpoint string, places int) int {
-	own := rendezvous(endpoint, instance)
+	own := rendezvousScore(endpoint, instance)
 	rank := 0
 	for _, name := range members {
-		score := rendezvous(endpoint, name)
+		score := rendezvousScore(endpoint, name)
 		if score < own || (score == own && name < instance) {
 			rank++
 		}
@@ -137,6 +141,8 @@
 	return (places-rank-1)/len(members) + 1
 }
 
-func rendezvous(endpoint, instance string) uint64 {
+// rendezvousScore returns the rendezvous hash of an instance for an endpoint,
+// lease or zone. The lowest score comes first.
+func rendezvousScore(endpoint, instance string) uint64 {
 	return xxhash.Sum64String(endpoint + "\x00" + instance)
 }
--- a/internal/allocation/share_test.go
+++ b/internal/allocation/share_test.go
@@ -14,15 +14,15 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// histories are the views that each instance has seen.
-type histories struct {
+// viewHistories contains the views that each instance has seen.
+type viewHistories struct {
 	seen   map[string]*views
 	now    time.Time
 	places int
 }
 
-// check fails if shares add up to more than there is.
-func (hi *histories) check(t *rapid.T, when string) {
+// check fails the test if the shares add up to more than all places.
+func (hi *viewHistories) check(t *rapid.T, when string) {
 	sum := 0
 	for name, vi := range hi.seen {
 		sum += vi.share(name, "engine-1", hi.places)
@@ -32,8 +32,8 @@
 	}
 }
 
-// see shows a view to the instances that are not behind.
-func (hi *histories) see(members []string, behind map[string]bool) {
+// observe shows a view to the instances that are not behind.
+func (hi *viewHistories) observe(members []string, behind map[string]bool) {
 	for name, vi := range hi.seen {
 		if !behind[name] {
 			hi.seen[name] = vi.with(hi.now, members)
@@ -41,30 +41,31 @@
 	}
 }
 
-// settle lets any of the members settle a view that all have and that is
-// closed for all.
-func (hi *histories) settle(t *rapid.T, members []string) {
+// confirm lets a random part of the members confirm a view, if it covers the
+// older views of all of them.
+func (hi *viewHistories) confirm(t *rapid.T, members []string) {
 	for _, name := range members {
-		if !hi.seen[name].closed(hi.now) {
+		if !hi.seen[name].coversOlder(hi.now) {
 			return
 		}
 	}
 	for _, name := range members {
-		if rapid.Bool().Draw(t, name+" settles") {
-			hi.seen[name] = hi.seen[name].withSettled()
+		if rapid.Bool().Draw(t, name+" confirms") {
+			hi.seen[name] = hi.seen[name].withConfirmed()
 		}
 	}
 }
 
-// Shares never add up to more than the places while newest views are at most
-// one version apart, and all of the places are shared out while they agree.
+// Checks that the shares never add up to more than the places while the
+// instances' newest views are at most one version apart, and that all places
+// are distributed while the views agree.
 func TestShares(t *testing.T) {
 	var names []string
 	for ix := range 6 {
 		names = append(names, "entry-"+strconv.Itoa(ix))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		hi := &histories{seen: make(map[string]*views), now: time.Unix(0, 0)}
+		hi := &viewHistories{seen: make(map[string]*views), now: time.Unix(0, 0)}
 		hi.places = rapid.IntRange(0, 40).Draw(t, "places")
 		for range rapid.IntRange(2, 6).Draw(t, "versions") {
 			hi.now = hi.now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "seconds")) * time.Second)
@@ -76,19 +77,19 @@
 				}
 				behind[name] = rapid.Bool().Draw(t, name+" behind")
 			}
-			hi.see(members, behind)
+			hi.observe(members, behind)
 			hi.check(t, "while views differ")
-			hi.see(members, nil)
+			hi.observe(members, nil)
 			hi.check(t, "while views agree")
-			hi.settle(t, members)
-			hi.check(t, "after settling")
+			hi.confirm(t, members)
+			hi.check(t, "after confirming")
 		}
-		whole := 0
+		total := 0
 		for _, name := range names {
-			whole += shareOf(names, name, "engine-1", hi.places)
+			total += shareOf(names, name, "engine-1", hi.places)
 		}
-		if whole != hi.places {
-			t.Fatalf("%d of %d places are shared out", whole, hi.places)
+		if total != hi.places {
+			t.Fatalf("the shares add up to %d of %d places", total, hi.places)
 		}
 	})
 }
--- a/internal/allocation/slope_test.go
+++ b/internal/allocation/slope_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkSlopeGrants measures what granting costs on the wire between a holder
-// and one other instance, over loopback.
+// BenchmarkSlopeGrants measures the calls and bytes that grants cause between
+// a holder and one other instance over loopback, at several rates.
 func BenchmarkSlopeGrants(b *testing.B) {
 	const lasts = 2 * time.Second
 	for _, perSecond := range []int{25, 100, 400} {
@@ -19,7 +19,7 @@
 		grants := 0
 		for ; time.Since(begun) < lasts; grants++ {
 			<-ticker.C
-			wg.Go(func() { grantOnce(b, pa.other) })
+			wg.Go(func() { acquireAndRelease(b, pa.other) })
 		}
 		ticker.Stop()
 		wg.Wait()
--- a/internal/allocation/wire_world_test.go
+++ b/internal/allocation/wire_world_test.go
@@ -12,29 +12,33 @@
 	"filbertstall.example/filbertstall/internal/suspicion"
 )
 
-// wire carries calls of one instance, with faults.
+// wire carries the calls of one instance and injects faults.
 type wire struct {
 	wo   *world
 	from string
 }
 
-func link2(le, ri string) string { return min(le, ri) + "|" + max(le, ri) }
+// pathKey returns the name of the path between two instances, the same in both
+// directions.
+func pathKey(le, ri string) string { return min(le, ri) + "|" + max(le, ri) }
 
-func (wi *wire) broken(to string) (cut, lost bool) {
+// pathFault reports whether the path is interrupted, and whether this message
+// is lost at random.
+func (wi *wire) pathFault(to string) (interrupted, lost bool) {
 	wi.wo.mu.Lock()
 	defer wi.wo.mu.Unlock()
-	return wi.wo.cut[link2(wi.from, to)], wi.wo.rn.Float64() < wi.wo.loss
+	return wi.wo.interrupted[pathKey(wi.from, to)], wi.wo.rn.Float64() < wi.wo.loss
 }
 
 // Call implements peer.Caller.
 func (wi *wire) Call(ctx context.Context, address, method string, args, reply any) error {
 	done := make(chan error, 1)
 	var answer any
-	go func() { done <- wi.carry(address, method, args, &answer) }()
+	go func() { done <- wi.roundTrip(address, method, args, &answer) }()
 	select {
 	case err := <-done:
 		if err == nil {
-			deliver(answer, reply)
+			copyReply(answer, reply)
 		}
 		return err
 	case <-ctx.Done():
@@ -42,22 +46,23 @@
 	}
 }
 
-// carry makes the call at the other instance; the answer is left in into.
-func (wi *wire) carry(address, method string, args any, into *any) error {
-	wi.wo.await(wi.from)
+// roundTrip makes the call at the other instance and stores the reply in into.
+// A reply may be lost after the call had its effect.
+func (wi *wire) roundTrip(address, method string, args any, into *any) error {
+	wi.wo.awaitResume(wi.from)
 	time.Sleep(callDelay)
-	if cut, lost := wi.broken(address); cut || lost {
-		return &peer.Error{Op: method, Peer: address, Kind: peer.Lost, Err: errors.New("cut")}
+	if interrupted, lost := wi.pathFault(address); interrupted || lost {
+		return &peer.Error{Op: method, Peer: address, Kind: peer.Lost, Err: errors.New("path interrupted or message lost")}
 	}
-	wi.wo.await(address)
+	wi.wo.awaitResume(address)
 	if err := wi.serve(address, method, args, into); err != nil {
 		return err
 	}
-	wi.wo.await(address)
+	wi.wo.awaitResume(address)
 	time.Sleep(callDelay)
-	wi.wo.await(wi.from)
-	if cut, lost := wi.broken(address); cut || lost {
-		return &peer.Error{Op: method, Peer: address, Kind: peer.Lost, Err: errors.New("answer lost")}
+	wi.wo.awaitResume(wi.from)
+	if interrupted, lost := wi.pathFault(address); interrupted || lost {
+		return &peer.Error{Op: method, Peer: address, Kind: peer.Lost, Err: errors.New("reply lost")}
 	}
 	return nil
 }
@@ -70,25 +75,25 @@
 	gt := wi.wo.instances[ix].gt
 	switch args := args.(type) {
 	case *AcquireArgs:
-		return answer(wi, args, into, gt.Service().Acquire)
+		return handle(wi, args, into, gt.Service().Acquire)
 	case *SyncArgs:
-		return answer(wi, args, into, gt.Service().Sync)
+		return handle(wi, args, into, gt.Service().Sync)
 	case *InFlightArgs:
-		return answer(wi, args, into, gt.Service().InFlight)
+		return handle(wi, args, into, gt.Service().InFlight)
 	case *ProbeArgs:
-		return answer(wi, args, into, gt.Service().Probe)
+		return handle(wi, args, into, gt.Service().Probe)
 	case *ViewArgs:
-		return answer(wi, args, into, gt.Service().View)
+		return handle(wi, args, into, gt.Service().View)
 	case *suspicion.Case:
-		return answer(wi, args, into, gt.Suspicion.Service().Share)
+		return handle(wi, args, into, gt.Suspicion.Service().Share)
 	case *suspicion.Query:
-		return answer(wi, args, into, gt.Suspicion.Service().All)
+		return handle(wi, args, into, gt.Suspicion.Service().All)
 	}
 	return errors.New("unknown method " + method)
 }
 
-// answer makes the call with a copy of args and leaves the reply to deliver.
-func answer[A, R any](wi *wire, args *A, into *any, method func(*A, *R) error) error {
+// handle calls method with a copy of args and stores the reply in into.
+func handle[A, R any](wi *wire, args *A, into *any, method func(*A, *R) error) error {
 	got := *args
 	reply := new(R)
 	*into = reply
@@ -98,8 +103,8 @@
 	return method(&got, reply)
 }
 
-// deliver copies a reply to where the caller wants it.
-func deliver(from, to any) {
+// copyReply copies a reply into the caller's variable.
+func copyReply(from, to any) {
 	switch from := from.(type) {
 	case *AcquireReply:
 		*to.(*AcquireReply) = *from
@@ -116,15 +121,17 @@
 	}
 }
 
-// cutStore is the platform as one instance reaches it.
-type cutStore struct {
+// faultyStore is the platform as one instance reaches it, with faults.
+type faultyStore struct {
 	*platformfake.Store
 	wo   *world
 	name string
 }
 
-func (cs *cutStore) reach(op string) error {
-	cs.wo.await(cs.name)
+// access delays an operation and fails it if the instance cannot reach the
+// platform.
+func (cs *faultyStore) access(op string) error {
+	cs.wo.awaitResume(cs.name)
 	time.Sleep(callDelay)
 	cs.wo.mu.Lock()
 	defer cs.wo.mu.Unlock()
@@ -135,26 +142,26 @@
 }
 
 // List implements platform.Store.
-func (cs *cutStore) List(ctx context.Context, prefix string) (platform.Listing, error) {
-	if err := cs.reach("list"); err != nil {
+func (cs *faultyStore) List(ctx context.Context, prefix string) (platform.Listing, error) {
+	if err := cs.access("list"); err != nil {
 		return platform.Listing{}, err
 	}
 	return cs.Store.List(ctx, prefix)
 }
 
 // Update implements platform.Store.
-func (cs *cutStore) Update(ctx context.Context, key string, previous int64, value []byte) (int64, error) {
-	if err := cs.reach("update"); err != nil {
+func (cs *faultyStore) Update(ctx context.Context, key string, previous int64, value []byte) (int64, error) {
+	if err := cs.access("update"); err != nil {
 		return 0, err
 	}
 	version, err := cs.Store.Update(ctx, key, previous, value)
-	cs.wo.await(cs.name)
+	cs.wo.awaitResume(cs.name)
 	return version, err
 }
 
 // Instances implements platform.Store.
-func (cs *cutStore) Instances(ctx context.Context) ([]platform.Instance, error) {
-	if err := cs.reach("instances"); err != nil {
+func (cs *faultyStore) Instances(ctx context.Context) ([]platform.Instance, error) {
+	if err := cs.access("instances"); err != nil {
 		return nil, err
 	}
 	return cs.Store.Instances(ctx)
--- a/internal/allocation/world_test.go
+++ b/internal/allocation/world_test.go
@@ -27,29 +27,34 @@
 	warmTokens = 1000
 	stepTime   = 100 * time.Millisecond
 	stepTokens = 50
-	enforced   = 3 * time.Second
+	// closeGrace is how long after an endpoint was closed it may still get new
+	// work. Until then, instances may have an older configuration.
+	closeGrace = 3 * time.Second
 	callDelay  = time.Millisecond
+	// reportAge is how far load reports lag.
 	reportAge  = 300 * time.Millisecond
 	maxRunTime = 4000 // milliseconds
-	longRun    = 15 * time.Second
+	// longRun is the duration of a few requests, longer than all others.
+	longRun = 15 * time.Second
 )
 
-// world is a deployment in virtual time: instances, endpoints, platform.
+// world is a deployment in virtual time: instances, endpoints and the
+// platform. Its violations are the invariants that did not hold.
 type world struct {
-	mu        sync.Mutex
-	rn        *rand.Rand
-	store     *platformfake.Store
-	instances []*instance
-	listed    []platform.Instance
-	machines  map[string]*machine
-	document  kind.Document
-	closedAt  map[string]time.Time
-	paused    map[string]time.Time
-	cut       map[string]bool
-	offline   map[string]bool
-	loss      float64
-	faults    []string
-	messages  int
+	mu          sync.Mutex
+	rn          *rand.Rand
+	store       *platformfake.Store
+	instances   []*instance
+	listed      []platform.Instance
+	machines    map[string]*machine
+	document    kind.Document
+	closedAt    map[string]time.Time
+	paused      map[string]time.Time
+	interrupted map[string]bool
+	offline     map[string]bool
+	loss        float64
+	violations  []string
+	messages    int
 }
 
 // instance is one entry instance.
@@ -60,8 +65,8 @@
 	stop          context.CancelFunc
 }
 
-// machine is one endpoint. It is cold until it has made warmTokens since its
-// start.
+// machine is one endpoint. It is cold until it has produced warmTokens tokens
+// since its start.
 type machine struct {
 	wo      *world
 	name    string
@@ -70,8 +75,8 @@
 	tokens  int
 	started int64
 	down    bool
-	died    chan struct{}
-	past    []sample
+	crashed chan struct{}
+	samples []sample
 	crashes int
 }
 
@@ -80,22 +85,23 @@
 	load endpoint.Load
 }
 
-func (wo *world) fault(format string, args ...any) {
-	wo.faults = append(wo.faults, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
+func (wo *world) recordViolation(format string, args ...any) {
+	wo.violations = append(wo.violations, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// newWorld makes a deployment of zones with instances and endpoints each.
+// newWorld creates a deployment in which each zone has perZone instances and
+// endpoints endpoints.
 func newWorld(seed uint64, zones []string, perZone, endpoints int) *world {
 	wo := &world{
 		rn: rand.New(rand.NewPCG(seed, 1)), store: platformfake.New(), machines: make(map[string]*machine),
-		closedAt: make(map[string]time.Time), paused: make(map[string]time.Time), cut: make(map[string]bool), offline: make(map[string]bool),
+		closedAt: make(map[string]time.Time), paused: make(map[string]time.Time), interrupted: make(map[string]bool), offline: make(map[string]bool),
 	}
 	wo.document = kind.Document{Version: 1, Services: []kind.Service{{Name: service, Type: kind.ServiceModel, Model: "m"}}}
 	for _, zone := range zones {
 		wo.document.Zones = append(wo.document.Zones, kind.Zone{Name: zone, Region: "r", State: kind.ZoneServing})
 		for ix := range endpoints {
 			name := fmt.Sprintf("%s-engine-%d", zone, ix)
-			wo.machines[name] = &machine{wo: wo, name: name, boot: 1, died: make(chan struct{})}
+			wo.machines[name] = &machine{wo: wo, name: name, boot: 1, crashed: make(chan struct{})}
 			wo.document.Endpoints = append(wo.document.Endpoints, kind.Endpoint{
 				Name: name, Service: service, Zone: zone, URL: "http://" + name, State: kind.EndpointServing,
 				Capacity: kind.Capacity{MemoryTokens: 1 << 20, Sequences: sequences, ColdSequences: cold},
@@ -113,7 +119,7 @@
 
 func (wo *world) newInstance(name, zone string) *instance {
 	in := &instance{name: name}
-	store := &cutStore{Store: wo.store, wo: wo, name: name}
+	store := &faultyStore{Store: wo.store, wo: wo, name: name}
 	clock := clockwork.NewRealClock()
 	members := &Poller{Store: store, Clock: clock}
 	caller := &wire{wo: wo, from: name}
@@ -147,7 +153,8 @@
 	}
 }
 
-// configure puts the document in force on all instances, each within delay.
+// configure applies the document at all instances, at each of them after a
+// random delay of less than delay.
 func (wo *world) configure(delay time.Duration) {
 	cf, err := kind.NewConfiguration(wo.document)
 	if err != nil {
@@ -163,7 +170,8 @@
 	}
 }
 
-// toggle takes a zone out or back, or drains an endpoint or opens it again.
+// toggle takes a zone out of service or returns it, or drains an endpoint or
+// reopens it.
 func (wo *world) toggle(index int, zone bool) {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
@@ -198,14 +206,15 @@
 	wo.configure(time.Second)
 }
 
-// serve runs one caller's request and returns whether it got a place.
+// serve runs one caller's request and returns its result. It retries at other
+// endpoints, and returns an error if no place is granted.
 func (wo *world) serve(ctx context.Context, in *instance, id string, fingerprint uint64, runs time.Duration) (admission.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	deadline, _ := ctx.Deadline()
 	var exclude []string
 	for {
-		wo.await(in.name)
+		wo.awaitResume(in.name)
 		re := admission.Request{ID: id, Service: service, Team: "t", Weight: 1, Fingerprint: fingerprint, Deadline: deadline, Exclude: exclude}
 		gr, err := in.gt.Acquire(ctx, re)
 		if err != nil {
@@ -220,84 +229,88 @@
 	}
 }
 
-// crashing marks fingerprints whose requests kill the endpoint.
-const crashing = 1 << 40
+// crashFlag marks the fingerprints of requests that crash the endpoint.
+const crashFlag = 1 << 40
 
-// run begins a request at the machine and checks that it bears it.
+// run runs a request at the machine and checks that the machine has the
+// capacity for it.
 func (ma *machine) run(gr *admission.Grant, runs time.Duration) admission.Result {
-	died, begun := ma.begin()
+	crashed, begun := ma.begin()
 	if !begun {
 		return admission.NotBegun
 	}
-	if gr.Request.Fingerprint&crashing != 0 {
+	if gr.Request.Fingerprint&crashFlag != 0 {
 		time.Sleep(50 * time.Millisecond)
 		ma.crash()
 		return admission.Lost
 	}
 	for end := time.Now().Add(runs); time.Now().Before(end); {
 		select {
-		case <-died:
+		case <-crashed:
 			return admission.Lost
 		case <-time.After(min(stepTime, time.Until(end))):
-			ma.step(gr, died)
+			ma.step(gr, crashed)
 		}
 	}
 	ma.wo.mu.Lock()
 	defer ma.wo.mu.Unlock()
-	if ma.died != died {
+	if ma.crashed != crashed {
 		return admission.Lost
 	}
-	ma.note()
+	ma.recordSample()
 	ma.running--
 	return admission.Whole
 }
 
-func (ma *machine) begin() (died chan struct{}, begun bool) {
+// begin starts a request. It records a violation if the machine exceeds its
+// capacity or was closed more than closeGrace ago.
+func (ma *machine) begin() (crashed chan struct{}, begun bool) {
 	wo := ma.wo
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
 	if ma.down {
 		return nil, false
 	}
-	ma.note()
+	ma.recordSample()
 	ma.running++
 	ma.started++
-	bears := sequences
+	capacity := sequences
 	if ma.tokens < warmTokens {
-		bears = cold
+		capacity = cold
 	}
-	if ma.running > bears {
-		wo.fault("%s runs %d and bears %d, boot %d", ma.name, ma.running, bears, ma.boot)
+	if ma.running > capacity {
+		wo.recordViolation("%s runs %d requests with a capacity of %d, boot %d", ma.name, ma.running, capacity, ma.boot)
 	}
-	if at, closed := wo.closedAt[ma.name]; closed && time.Since(at) > enforced {
-		wo.fault("%s got work %s after it was closed", ma.name, time.Since(at))
+	if at, closed := wo.closedAt[ma.name]; closed && time.Since(at) > closeGrace {
+		wo.recordViolation("%s got work %s after it was closed", ma.name, time.Since(at))
 	}
-	return ma.died, true
+	return ma.crashed, true
 }
 
-// step makes the tokens of one request.
-func (ma *machine) step(gr *admission.Grant, died chan struct{}) {
+// step produces the next tokens of one request.
+func (ma *machine) step(gr *admission.Grant, crashed chan struct{}) {
 	ma.wo.mu.Lock()
 	defer ma.wo.mu.Unlock()
-	if ma.died == died {
+	if ma.crashed == crashed {
 		ma.tokens += stepTokens
 		gr.Tokens.Add(stepTokens)
 	}
 }
 
-// crash ends what runs; the machine is back after five seconds, cold.
+// crash ends all running requests. The machine is back after five seconds,
+// cold.
 func (ma *machine) crash() {
 	ma.wo.mu.Lock()
 	defer ma.wo.mu.Unlock()
 	if ma.down {
 		return
 	}
-	ma.note()
+	ma.recordSample()
 	ma.crashes++
 	ma.down, ma.running, ma.tokens = true, 0, 0
 	ma.boot++
-	close(ma.died)
-	ma.died = make(chan struct{})
+	close(ma.crashed)
+	ma.crashed = make(chan struct{})
 	time.AfterFunc(5*time.Second, func() {
 		ma.wo.mu.Lock()
 		defer ma.wo.mu.Unlock()
@@ -305,9 +318,9 @@
 	})
 }
 
-// note keeps the load before a change, for reports that lag.
-func (ma *machine) note() {
-	ma.past = append(ma.past, sample{at: time.Now(), load: ma.load()})
+// recordSample stores the load before a change, so that reports can lag.
+func (ma *machine) recordSample() {
+	ma.samples = append(ma.samples, sample{at: time.Now(), load: ma.load()})
 }
 
 func (ma *machine) load() endpoint.Load {
@@ -317,7 +330,7 @@
 	}
 }
 
-// Load implements Endpoints: the report is reportAge old.
+// Load implements Endpoints. The report is reportAge old.
 func (wo *world) Load(url string) (endpoint.Load, error) {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
@@ -326,7 +339,7 @@
 		return endpoint.Load{}, &endpoint.Error{Op: "load", URL: url, Kind: endpoint.Unreachable}
 	}
 	then := time.Now().Add(-reportAge)
-	for _, sa := range ma.past {
+	for _, sa := range ma.samples {
 		if sa.at.After(then) {
 			return sa.load, nil
 		}
@@ -334,31 +347,33 @@
 	return ma.load(), nil
 }
 
-// CacheEvents implements Endpoints.
+// CacheEvents implements Endpoints. There are no events.
 func (wo *world) CacheEvents(string, int64) ([]endpoint.CacheEvent, error) { return nil, nil }
 
-// await blocks while an instance is paused.
-func (wo *world) await(name string) {
+// awaitResume blocks while an instance is paused.
+func (wo *world) awaitResume(name string) {
 	wo.mu.Lock()
 	until := wo.paused[name]
 	wo.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
 
+// pause stops the messages of an instance for a time.
 func (wo *world) pause(name string, lasts time.Duration) {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
 	wo.paused[name] = time.Now().Add(lasts)
 }
 
-// toggleGhost lists an instance of a zone that does not exist, or unlists it.
-func (wo *world) toggleGhost(index int) {
+// toggleUnreachableMember adds an instance that does not exist to the
+// platform's list, or removes it.
+func (wo *world) toggleUnreachableMember(index int) {
 	zone := wo.document.Zones[index%len(wo.document.Zones)].Name
-	ghost := platform.Instance{Name: zone + "-ghost", Zone: zone, State: platform.InstanceLive, Peer: "ghost"}
-	if ix := slices.Index(wo.listed, ghost); ix >= 0 {
+	member := platform.Instance{Name: zone + "-ghost", Zone: zone, State: platform.InstanceLive, Peer: "ghost"}
+	if ix := slices.Index(wo.listed, member); ix >= 0 {
 		wo.listed = slices.Delete(wo.listed, ix, ix+1)
 	} else {
-		wo.listed = append(wo.listed, ghost)
+		wo.listed = append(wo.listed, member)
 	}
 	wo.store.SetInstances(wo.listed)
 }
@@ -379,11 +394,11 @@
 	return ho != nil && ho.held()
 }
 
-// heal ends all faults.
-func (wo *world) heal() {
+// clearFaults ends all injected faults.
+func (wo *world) clearFaults() {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
-	clear(wo.cut)
+	clear(wo.interrupted)
 	clear(wo.offline)
 	wo.loss = 0
 	wo.store.SetFault(platformfake.None)
