--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -146,7 +146,7 @@
 		return
 	}
 	ex.heard[me.Instance] = &sender{started: me.Started, sequence: me.Sequence, at: ex.Clock.Now()}
-	ex.Board.Tell(me.Instance, me.Loads)
+	ex.Board.SetRemoteLoads(me.Instance, me.Loads)
 	ex.Turns.take(me.Instance, me.Moves)
 }
 
@@ -157,7 +157,7 @@
 	defer ex.mu.Unlock()
 	for name, se := range ex.heard {
 		if now.Sub(se.at) > silence {
-			ex.Board.Tell(name, nil)
+			ex.Board.SetRemoteLoads(name, nil)
 			ex.Turns.take(name, nil)
 			delete(ex.heard, name)
 		}
--- a/internal/placement/account.go
+++ b/internal/placement/account.go
@@ -2,50 +2,58 @@
 
 import "time"
 
-// Outcome says how a request ended at an endpoint.
+// Outcome is the result of one attempt at an endpoint.
 type Outcome int
 
 // The outcomes.
 const (
-	// Done means that a whole answer came, or that the caller left.
+	// Done means that a complete response arrived or that the caller disconnected.
 	Done Outcome = iota
-	// Failed means that the endpoint answered that it failed.
+	// Failed means that the endpoint returned an error response.
 	Failed
-	// Refused means that the endpoint did not run the request.
+	// Refused means that the endpoint rejected the request without running it.
 	Refused
-	// Lost means that no whole answer came.
+	// Lost means that the connection broke before a complete response arrived.
 	Lost
-	// Unreachable means that no connection was made.
+	// Unreachable means that no connection could be established.
 	Unreachable
 )
 
-// account is what one instance knows of its own work at an endpoint.
+// account tracks the requests that this instance has in flight at one endpoint,
+// and the endpoint's recent failures.
 type account struct {
-	// running counts requests that were begun and have not ended.
-	running int
-	// generations are those of them that an engine makes.
+	// inFlight counts requests that have begun and not ended.
+	inFlight int
+	// generations counts those in-flight requests that run on an engine.
 	generations int
-	// reading is how many tokens of prompts wait to be read.
-	reading int
-	// held is how many tokens the running generations hold, or will.
-	held int
-	// failures is an average that falls by half in failureHalfLife.
+	// prefillTokens is the number of prompt tokens still to be prefilled.
+	prefillTokens int
+	// reservedTokens is the KV-cache memory, in tokens, that generations and
+	// standby copies occupy or are expected to occupy.
+	reservedTokens int
+	// failures is the weighted failure count as of failuresAt. It decays with
+	// failureHalfLife.
 	failures   float64
 	failuresAt time.Time
-	// shunUntil is set while the endpoint can't be reached.
-	shunUntil time.Time
-	shuns     int
-	// arrivals are those of the last second, for endpoints that are cold.
+	// backoffUntil is the end of the back-off after a failed connection attempt.
+	// Until then the endpoint is not chosen.
+	backoffUntil time.Time
+	// backoffs counts connection attempts that failed in a row.
+	backoffs int
+	// arrivals has the start times of recent requests, oldest first. It limits
+	// the request rate of endpoints in cold start.
 	arrivals []time.Time
 }
 
 const (
 	failureHalfLife = 2 * time.Second
-	firstShun       = 400 * time.Millisecond
-	lastShun        = 1500 * time.Millisecond
+	// The back-off for unreachable endpoints doubles from initialBackoff up to
+	// maxBackoff.
+	initialBackoff = 400 * time.Millisecond
+	maxBackoff     = 1500 * time.Millisecond
 )
 
-// weight is how much one outcome adds to the average of failures.
+// weight returns how much one outcome adds to the failure score.
 func (ou Outcome) weight() float64 {
 	switch ou {
 	case Failed:
@@ -59,22 +67,25 @@
 	}
 }
 
-func (ac *account) settle(ou Outcome, now time.Time) {
-	ac.failures = ac.failing(now) + ou.weight()
+// recordOutcome updates the failure score and the back-off. A lost connection
+// leaves the back-off unchanged.
+func (ac *account) recordOutcome(ou Outcome, now time.Time) {
+	ac.failures = ac.failureScore(now) + ou.weight()
 	ac.failuresAt = now
 	switch ou {
 	case Unreachable:
-		pause := min(firstShun<<min(ac.shuns, 8), lastShun)
-		ac.shuns++
-		ac.shunUntil = now.Add(pause)
+		backoff := min(initialBackoff<<min(ac.backoffs, 8), maxBackoff)
+		ac.backoffs++
+		ac.backoffUntil = now.Add(backoff)
 	case Done, Failed, Refused:
-		ac.shuns = 0
+		ac.backoffs = 0
 	case Lost:
 	}
 }
 
-// failing returns the average of failures as of now.
-func (ac *account) failing(now time.Time) float64 {
+// failureScore returns the weighted failure count, decayed to now. Scores older
+// than ten half-lives count as zero.
+func (ac *account) failureScore(now time.Time) float64 {
 	age := now.Sub(ac.failuresAt)
 	if ac.failures == 0 || age > 10*failureHalfLife {
 		return 0
@@ -82,8 +93,8 @@
 	return ac.failures * decay(age, failureHalfLife)
 }
 
-// arrivedLately counts arrivals in the last second.
-func (ac *account) arrivedLately(now time.Time) int {
+// arrivalsInLastSecond drops older arrivals and returns the number that remain.
+func (ac *account) arrivalsInLastSecond(now time.Time) int {
 	first := 0
 	for first < len(ac.arrivals) && now.Sub(ac.arrivals[first]) >= time.Second {
 		first++
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -12,151 +12,166 @@
 	"filbertstall.example/filbertstall/internal/routing"
 )
 
-// Work is what a request asks of an endpoint.
+// Work is the resource demand of one request.
 type Work struct {
-	// Engine is nil for requests to plain services.
+	// Engine describes the inference engines of the service. It is nil for
+	// requests to plain services.
 	Engine *routing.Engine
-	// Prompt is the number of tokens that have to be read.
+	// Prompt is the number of prompt tokens to prefill.
 	Prompt int
-	// Output is the number of tokens that are expected.
+	// Output is the expected number of output tokens.
 	Output int
-	// ColdRate is how many requests a second a cold endpoint takes from this
-	// instance; zero means no bound.
+	// ColdRate is the maximum rate, in requests per second, at which this instance
+	// sends to an endpoint in cold start. Zero means no limit.
 	ColdRate float64
-	// Zone is where a copy of the work lies, whose endpoints are reached at half
-	// the cost; empty means that of the instance.
+	// Zone is the availability zone that holds the KV cache of the generation when
+	// it migrates. Copies within that zone cost half as much as copies to another.
+	// Empty means a new request, which starts from the zone of the instance.
 	Zone string
 }
 
-// Board keeps the accounts. Set the exported fields before use. It is safe for
-// concurrent use.
+// Board tracks the load of endpoints and chooses among them. Set the exported
+// fields before use. It is safe for concurrent use.
 type Board struct {
 	Clock clockwork.Clock
-	// Zone is that of the instance.
+	// Zone is the availability zone of this instance.
 	Zone string
-	// Instance breaks ties differently on each instance.
+	// Instance is the name of this instance. It seeds the tie-break between
+	// endpoints of equal cost, so that instances spread over them.
 	Instance string
-	// Changes gets a value when the work at engines changes, unless one waits
-	// there; nil gets none.
+	// Changes receives a value when the load of an engine changes. The send does
+	// not block: it is skipped if the channel is full. Nil disables notifications.
 	Changes chan struct{}
 
 	mu       sync.Mutex
 	accounts map[string]*account
-	// told is what each other instance said last; foreign is the sum by endpoint.
-	told    map[string]map[string]Load
-	foreign map[string]Load
-	// borders are the ways to other zones.
-	borders map[string]*border
+	// remoteLoads has the last report of each other instance, by instance and
+	// endpoint. remoteTotals has the sum of these reports by endpoint.
+	remoteLoads  map[string]map[string]Load
+	remoteTotals map[string]Load
+	// zonePaths has the reachability of other zones, by zone.
+	zonePaths map[string]*zonePath
 }
 
-// Load is what instances tell each other of an endpoint.
+// Load is the load of one endpoint, as instances report it to each other.
 type Load struct {
-	// Running counts generations, Reading the tokens of prompts that wait to be
-	// read, and Held the tokens that generations take up or will.
+	// Running is the number of generations in flight.
 	Running int
+	// Reading is the number of prompt tokens still to be prefilled.
 	Reading int
-	Held    int
+	// Held is the KV-cache memory, in tokens, that generations and standby copies
+	// occupy or are expected to occupy.
+	Held int
 }
 
-// The cost of an endpoint is in milliseconds that a request loses there.
+// The cost of an endpoint is the expected delay of a request there, in
+// milliseconds, plus penalties for risks on the same scale.
 const (
-	// readTokensPerMillisecond is the pace at which engines read prompts beside
-	// generations: a step of 7 ms and more reads one chunk of 112 tokens.
-	readTokensPerMillisecond = 7.0
-	// runCost is what each running generation adds to the time of a new one.
-	runCost = 12.0
-	// callCost is what each running call of a plain service adds to a new one's
-	// wait, as a share of the slots.
+	// prefillTokensPerMillisecond is the prefill throughput of an engine that also
+	// runs generations: a step takes 7 ms or more and prefills one chunk of 112
+	// tokens.
+	prefillTokensPerMillisecond = 7.0
+	// generationCost is the delay that each running generation adds to a new one.
+	generationCost = 12.0
+	// callCost is the cost of a plain service whose slots are all in use. It is
+	// scaled by the ratio of running calls to slots.
 	callCost = 60.0
-	// zoneCost is for endpoints in another zone: the way there and back.
+	// zoneCost is the network round trip to another zone.
 	zoneCost = 6.0
-	// engineZoneCost is for engines in another zone, and outputZoneCost for each
-	// token that is expected there: the longer a stream, the likelier it is cut
-	// off with its zone, or has to be copied while its engine leaves.
+	// engineZoneCost applies to engines in another zone, plus outputZoneCost for
+	// each expected output token: the longer a stream, the more likely it is that
+	// a network partition interrupts it, or that it must be migrated because its
+	// engine drains.
 	engineZoneCost = 30.0
 	outputZoneCost = 1.3
-	// copyZoneCost is for a copy into another zone, which takes twice as long.
+	// copyZoneCost applies to a KV-cache copy to another zone, which takes twice
+	// as long as one within the zone.
 	copyZoneCost = 500.0
-	// failureCost is for an endpoint that failed once just now.
+	// failureCost applies to an endpoint with a failure score of 1.
 	failureCost = 120.0
-	// fullCost is for an engine whose memory or slots are taken up.
-	fullCost = 2000.0
-	// coldCost is for an endpoint that is cold: its first second is slow.
+	// exhaustedCost applies to an engine whose memory is exhausted, and once more
+	// if all its slots are in use.
+	exhaustedCost = 2000.0
+	// coldCost applies to an endpoint in cold start: its first second is slow.
 	coldCost = 60.0
-	// tieCost spreads instances over endpoints of the same cost.
-	tieCost = 4.0
-	// memoryShare is how much of an engine's memory may be planned for: some is
-	// kept for shared prompts.
-	memoryShare = 0.9
+	// tieBreakCost is the largest per-instance offset, which spreads instances over
+	// endpoints of equal cost.
+	tieBreakCost = 4.0
+	// plannableMemoryShare is the share of an engine's memory that generations may
+	// reserve. The rest is left for prompt prefixes that requests share.
+	plannableMemoryShare = 0.9
 )
 
-// Choose returns the endpoint of least cost among those that are not excluded,
-// or false if none may be used now.
+// Choose returns the endpoint of lowest cost, leaving out those whose ID is in
+// exclude. It returns false if no endpoint is usable now.
 func (bo *Board) Choose(list []roster.Endpoint, wo Work, exclude map[string]bool) (Choice, bool) {
 	now := bo.Clock.Now()
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
-	best, least := -1, math.Inf(1)
+	best, lowest := -1, math.Inf(1)
 	for ix, en := range list {
 		if exclude[en.ID] {
 			continue
 		}
-		if cost, usable := bo.cost(en, wo, now); usable && cost < least {
-			best, least = ix, cost
+		if cost, usable := bo.cost(en, wo, now); usable && cost < lowest {
+			best, lowest = ix, cost
 		}
 	}
 	if best < 0 {
 		return Choice{}, false
 	}
-	return Choice{Endpoint: list[best], Cost: least, Load: bo.load(list[best].ID)}, true
+	return Choice{Endpoint: list[best], Cost: lowest, Load: bo.load(list[best].ID)}, true
 }
 
-// Choice is an endpoint with what decided for it.
+// Choice is the chosen endpoint and the inputs of the decision, for logs.
 type Choice struct {
 	Endpoint roster.Endpoint
-	// Cost is what the request is expected to lose there, in milliseconds.
+	// Cost is the expected delay of the request there, in milliseconds, including
+	// penalties for risks.
 	Cost float64
-	// Load is what runs there by all accounts.
+	// Load is the load of the endpoint over all instances. Its Running also counts
+	// this instance's calls to plain services.
 	Load Load
 }
 
-// load returns what runs at an endpoint by all accounts.
+// load returns the load of an endpoint over all instances; mu is held.
 func (bo *Board) load(id string) Load {
-	lo := bo.foreign[id]
+	lo := bo.remoteTotals[id]
 	if ac := bo.accounts[id]; ac != nil {
-		lo.Running += ac.running
-		lo.Reading += ac.reading
-		lo.Held += ac.held
+		lo.Running += ac.inFlight
+		lo.Reading += ac.prefillTokens
+		lo.Held += ac.reservedTokens
 	}
 	return lo
 }
 
-// cost returns what a request loses at an endpoint, in milliseconds, or false if
-// the endpoint may not be used now: it can't be reached, or is cold and has had
-// its share.
+// cost returns the cost of running a request at an endpoint, in milliseconds. It
+// returns false if the endpoint is not usable now: it is in back-off after a
+// failed connection attempt, or it is in cold start and its rate limit is
+// reached. mu is held.
 func (bo *Board) cost(en roster.Endpoint, wo Work, now time.Time) (float64, bool) {
 	ac := bo.accounts[en.ID]
 	if ac == nil {
 		ac = &account{}
 	}
-	if now.Before(ac.shunUntil) {
+	if now.Before(ac.backoffUntil) {
 		return 0, false
 	}
-	cost := tieCost*tie(bo.Instance, en.ID) + failureCost*ac.failing(now)
+	cost := tieBreakCost*tieBreak(bo.Instance, en.ID) + failureCost*ac.failureScore(now)
 	if now.Before(en.ColdUntil) {
-		if wo.ColdRate > 0 && float64(ac.arrivedLately(now)) >= wo.ColdRate {
+		if wo.ColdRate > 0 && float64(ac.arrivalsInLastSecond(now)) >= wo.ColdRate {
 			return 0, false
 		}
 		cost += coldCost
 	}
-	home := bo.Zone
+	homeZone := bo.Zone
 	if wo.Zone != "" {
-		home = wo.Zone
+		homeZone = wo.Zone
 	}
-	if en.Zone != home {
-		cost += wo.away()
+	if en.Zone != homeZone {
+		cost += wo.remoteZoneCost()
 	}
-	cost += borderCost * bo.borders[en.Zone].failing(now)
+	cost += zonePathCost * bo.zonePaths[en.Zone].failureScore(now)
 	lo := bo.load(en.ID)
 	if wo.Engine == nil {
 		return cost + callCost*float64(lo.Running)/float64(max(en.Slots, 1)), true
@@ -164,8 +179,8 @@
 	return cost + engineCost(lo, wo), true
 }
 
-// away is the cost of an endpoint in another zone.
-func (wo Work) away() float64 {
+// remoteZoneCost returns the cost of an endpoint in another zone.
+func (wo Work) remoteZoneCost() float64 {
 	switch {
 	case wo.Zone != "":
 		return copyZoneCost
@@ -176,97 +191,101 @@
 	}
 }
 
-// engineCost is the cost of a generation at an engine with a load.
+// engineCost returns the cost of a new generation at an engine with load lo.
 func engineCost(lo Load, wo Work) float64 {
-	cost := float64(lo.Reading)/readTokensPerMillisecond + runCost*float64(lo.Running)
-	memory := memoryShare * float64(wo.Engine.MemoryTokens)
-	if over := float64(lo.Held+wo.Prompt+wo.Output) - memory; over > 0 {
-		cost += fullCost * (1 + over/memory)
+	cost := float64(lo.Reading)/prefillTokensPerMillisecond + generationCost*float64(lo.Running)
+	memory := plannableMemoryShare * float64(wo.Engine.MemoryTokens)
+	if excess := float64(lo.Held+wo.Prompt+wo.Output) - memory; excess > 0 {
+		cost += exhaustedCost * (1 + excess/memory)
 	}
 	if lo.Running >= wo.Engine.Slots {
-		cost += fullCost
+		cost += exhaustedCost
 	}
 	return cost
 }
 
-// tie returns a number from 0 to 1 for an instance and an endpoint.
-func tie(instance, endpoint string) float64 {
+// tieBreak returns a stable pseudo-random number in [0, 1) for an instance and an
+// endpoint.
+func tieBreak(instance, endpoint string) float64 {
 	const steps = 1 << 16
 	return float64(xxhash.Sum64String(instance+"/"+endpoint)%steps) / steps
 }
 
+// decay returns the factor by which a score of the given age has decayed.
 func decay(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// Loads returns what runs at engines by the accounts of this instance.
+// Loads returns the load that this instance places on engines, by endpoint.
 func (bo *Board) Loads() map[string]Load {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	loads := make(map[string]Load, len(bo.accounts))
 	for id, ac := range bo.accounts {
-		if ac.generations > 0 || ac.held > 0 {
-			loads[id] = Load{Running: ac.generations, Reading: ac.reading, Held: ac.held}
+		if ac.generations > 0 || ac.reservedTokens > 0 {
+			loads[id] = Load{Running: ac.generations, Reading: ac.prefillTokens, Held: ac.reservedTokens}
 		}
 	}
 	return loads
 }
 
-// Tell replaces what another instance said of its work at engines.
-func (bo *Board) Tell(instance string, loads map[string]Load) {
+// SetRemoteLoads replaces the loads that another instance reported. Nil loads
+// remove the instance.
+func (bo *Board) SetRemoteLoads(instance string, loads map[string]Load) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
-	if bo.told == nil {
-		bo.told, bo.foreign = make(map[string]map[string]Load), make(map[string]Load)
+	if bo.remoteLoads == nil {
+		bo.remoteLoads, bo.remoteTotals = make(map[string]map[string]Load), make(map[string]Load)
 	}
-	for id, lo := range bo.told[instance] {
-		bo.addForeign(id, Load{-lo.Running, -lo.Reading, -lo.Held})
+	for id, lo := range bo.remoteLoads[instance] {
+		bo.addRemoteLoad(id, Load{-lo.Running, -lo.Reading, -lo.Held})
 	}
 	for id, lo := range loads {
-		bo.addForeign(id, lo)
+		bo.addRemoteLoad(id, lo)
 	}
-	bo.told[instance] = loads
+	bo.remoteLoads[instance] = loads
 	if len(loads) == 0 {
-		delete(bo.told, instance)
+		delete(bo.remoteLoads, instance)
 	}
 }
 
-func (bo *Board) addForeign(id string, lo Load) {
-	sum := bo.foreign[id]
+func (bo *Board) addRemoteLoad(id string, lo Load) {
+	sum := bo.remoteTotals[id]
 	sum.Running += lo.Running
 	sum.Reading += lo.Reading
 	sum.Held += lo.Held
-	bo.foreign[id] = sum
+	bo.remoteTotals[id] = sum
 	if sum == (Load{}) {
-		delete(bo.foreign, id)
+		delete(bo.remoteTotals, id)
 	}
 }
 
-// changed tells listeners that the work at engines changed.
-func (bo *Board) changed() {
+// notifyChange signals on Changes that the load of an engine changed.
+func (bo *Board) notifyChange() {
 	select {
 	case bo.Changes <- struct{}{}:
 	default:
 	}
 }
 
-// Forget drops the accounts of endpoints that are gone and have nothing
-// running.
+// Forget removes the accounts of endpoints for which known returns false, unless
+// requests or standby copies are still accounted to them.
 func (bo *Board) Forget(known func(id string) bool) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	for id, ac := range bo.accounts {
-		if ac.running == 0 && ac.held == 0 && !known(id) {
+		if ac.inFlight == 0 && ac.reservedTokens == 0 && !known(id) {
 			delete(bo.accounts, id)
 		}
 	}
 }
 
-// Fail notes a failure that was seen outside a ticket.
-func (bo *Board) Fail(id string, ou Outcome) {
+// RecordOutcome updates the failure score of an endpoint for an attempt that has
+// no ticket.
+func (bo *Board) RecordOutcome(id string, ou Outcome) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
-	bo.account(id).settle(ou, bo.Clock.Now())
+	bo.account(id).recordOutcome(ou, bo.Clock.Now())
 }
 
 func (bo *Board) account(id string) *account {
--- a/internal/placement/board_test.go
+++ b/internal/placement/board_test.go
@@ -26,8 +26,8 @@
 	return list
 }
 
-// Pattern: long prompts come in a burst. No engine gets a second one while
-// another has none to read.
+// Guards against head-of-line blocking when long prompts arrive in a burst: no
+// engine gets a second one while another has nothing to prefill.
 func TestLongPromptsDoNotPileUp(t *testing.T) {
 	g := NewWithT(t)
 	bo := newBoard(clockwork.NewFakeClock())
@@ -44,8 +44,9 @@
 	}
 }
 
-// Pattern: long streams in steady state. An engine whose memory is planned out
-// gets nothing while another has room, although its prompts are read.
+// Guards against sending to an engine whose memory is fully reserved by long
+// streams: it gets no request while another has room, although its own prompts
+// are all prefilled and the other is in another zone.
 func TestFullMemoryGoesLast(t *testing.T) {
 	g := NewWithT(t)
 	bo := newBoard(clockwork.NewFakeClock())
@@ -57,25 +58,26 @@
 	g.Expect(ch.Endpoint.ID).To(Equal("e1"))
 }
 
-// Pattern: several instances send to the same engines. What others tell counts
-// like one's own, until it is replaced.
+// Several instances send to the same engines: the loads that others report count
+// like the own loads until the next report replaces them.
 func TestLoadsOfOthersCount(t *testing.T) {
 	g := NewWithT(t)
 	bo := newBoard(clockwork.NewFakeClock())
 	list := endpoints("a", "a")
 	work := Work{Engine: testEngine, Prompt: 2000, Output: 100}
-	bo.Tell("i2", map[string]Load{"e0": {Running: 2, Reading: 9000, Held: 9000}})
+	bo.SetRemoteLoads("i2", map[string]Load{"e0": {Running: 2, Reading: 9000, Held: 9000}})
 	ch, _ := bo.Choose(list, work, nil)
 	g.Expect(ch.Endpoint.ID).To(Equal("e1"))
-	bo.Tell("i2", map[string]Load{"e1": {Running: 2, Reading: 9000, Held: 9000}})
+	bo.SetRemoteLoads("i2", map[string]Load{"e1": {Running: 2, Reading: 9000, Held: 9000}})
 	ch, _ = bo.Choose(list, work, nil)
 	g.Expect(ch.Endpoint.ID).To(Equal("e0"))
-	bo.Tell("i2", nil)
-	g.Expect(bo.foreign).To(BeEmpty())
+	bo.SetRemoteLoads("i2", nil)
+	g.Expect(bo.remoteTotals).To(BeEmpty())
 }
 
-// Pattern: a zone is cut off. Long streams stay in their zone where they can,
-// short ones go where they start sooner.
+// A network partition interrupts streams from another zone. Long streams are kept
+// in the instance's zone where possible, and short ones go where they start
+// sooner.
 func TestLongStreamsStayInTheZone(t *testing.T) {
 	g := NewWithT(t)
 	bo := newBoard(clockwork.NewFakeClock())
@@ -87,7 +89,8 @@
 	g.Expect(short.Endpoint.Zone).To(Equal("b"))
 }
 
-// Pattern: replicas fail part of their requests with a good health check.
+// Replicas may fail part of their requests while their health check passes: each
+// failure raises the cost of the replica and decays.
 func TestFailuresCostAndFade(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
@@ -101,17 +104,17 @@
 	bo.Begin(list[1], Work{})
 	clock.Advance(12 * time.Second)
 	ch, _ = bo.Choose(list, Work{}, nil)
-	g.Expect(ch.Endpoint.ID).To(Equal("e0"), "an old failure is worth less than a queue")
+	g.Expect(ch.Endpoint.ID).To(Equal("e0"), "a decayed failure must cost less than three running requests")
 }
 
-// Pattern: an endpoint is down or cut off. It is left alone for a pause that
-// doubles up to a bound, and tried again.
+// An endpoint that is down or unreachable is not chosen during a back-off that
+// doubles up to a maximum, and is chosen again afterwards.
 func TestUnreachableEndpointsAreShunned(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
 	bo := newBoard(clock)
 	list := endpoints("a")
-	for _, pause := range []time.Duration{firstShun, 2 * firstShun, lastShun, lastShun} {
+	for _, pause := range []time.Duration{initialBackoff, 2 * initialBackoff, maxBackoff, maxBackoff} {
 		bo.Begin(list[0], Work{}).End(Unreachable)
 		clock.Advance(pause - time.Millisecond)
 		_, found := bo.Choose(list, Work{}, nil)
@@ -122,8 +125,8 @@
 	}
 }
 
-// Pattern: replicas come back cold. In no second does a cold endpoint get more
-// than this instance's share.
+// Guards against overload of replicas that return in cold start: in no interval of
+// one second does such an endpoint get more requests than ColdRate allows.
 func TestColdEndpointsGetTheirShare(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
@@ -141,7 +144,7 @@
 	for ix := 3; ix < len(begun); ix++ {
 		g.Expect(begun[ix].Sub(begun[ix-3])).To(BeNumerically(">=", time.Second))
 	}
-	g.Expect(len(begun)).To(BeNumerically(">=", 39), "three a second for 14 s")
+	g.Expect(len(begun)).To(BeNumerically(">=", 39), "3 requests/s over 14 s give at least 39 starts")
 }
 
 func TestTicketsEndOnce(t *testing.T) {
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,13 +1,13 @@
-// Package placement chooses the endpoint for a request from what is known of
-// the load at each.
+// Package placement chooses the endpoint for a request by the estimated load and
+// the recent failures of each endpoint.
 //
-// It is plain state without network. A Board keeps an account for each
-// endpoint: the prompts that wait to be read, the generations that run, the
-// tokens that they hold, and how lately the endpoint failed. Several instances
-// send to the same engines, so they tell each other their accounts
-// (internal/loadshare), and Tell adds them. What can't be reached in another
-// zone makes the whole zone dearer for a while (border.go), and engines with
-// memory to spare are chosen for standby copies (standby.go).
+// It holds in-memory state only and does no network I/O. A Board keeps an account
+// for each endpoint: prompt tokens still to be prefilled, generations in flight,
+// the KV-cache memory that they reserve, and recent failures. Several instances
+// send to the same engines, so they exchange their loads (internal/loadshare),
+// and SetRemoteLoads adds the loads of the others. Failed connection attempts in
+// another zone raise the cost of that whole zone for a few seconds (zonepath.go).
+// Standby copies are placed on engines with free memory (standby.go).
 //
 // # Usage
 //
@@ -15,6 +15,6 @@
 //	work := placement.Work{Prompt: 3000, Output: 900, Engine: engine}
 //	ch, found := bo.Choose(view.Ready("filbert-pool"), work, nil)
 //	ti := bo.Begin(ch.Endpoint, work)
-//	ti.Started()      // the first event came: the prompt is read
+//	ti.Started()      // the first event arrived: the prompt is prefilled
 //	ti.End(placement.Done)
 package placement
--- a/internal/placement/standby.go
+++ b/internal/placement/standby.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	// standbyShare is how much of an engine's memory may be planned for if a
-	// standby copy comes on top: beyond, the copy could push running generations
-	// out, which costs more than the copy saves.
-	standbyShare = 0.4
-	// spareShare is how much of the memory of all engines together may be planned
-	// for: where the mean is beyond, engines fill up by chance, and copies there
-	// push generations out.
-	spareShare = 0.45
-	// fillCost is for an engine whose memory is all planned for, and its part for
-	// one with less.
+	// maxStandbyFill is the highest share of an engine's memory that may be
+	// reserved, the standby copy included. Above it the copy could evict running
+	// generations, which costs more than the copy saves.
+	maxStandbyFill = 0.4
+	// maxMeanFill is the highest mean share of reserved memory over all engines at
+	// which standby copies are placed. Above it single engines fill up by chance,
+	// and copies there would evict running generations.
+	maxMeanFill = 0.45
+	// fillCost applies to an engine whose memory is fully reserved, and
+	// proportionally to one with less reserved.
 	fillCost = 1000.0
-	// standbyZoneCost is for a copy outside the instance's zone: it takes twice as
-	// long, and can't be reached if the zone is cut off.
+	// standbyZoneCost applies to a copy outside the instance's zone: it takes twice
+	// as long and is unreachable while the zones are partitioned.
 	standbyZoneCost = 400.0
 )
 
-// ChooseStandby returns the engine that should keep a copy of a generation that
-// runs at another one, or false if none has memory to spare. An engine in the
-// instance's own zone is preferred: the copy is then of use also when the zone
-// of the run is cut off.
+// ChooseStandby returns the engine that should hold the standby copy of a
+// generation that runs on the engine with the ID primary. It returns false if no
+// engine has enough free memory. Engines in the instance's own zone are preferred,
+// so that the copy stays reachable when the zone of the primary is partitioned.
 func (bo *Board) ChooseStandby(list []roster.Endpoint, wo Work, primary string) (roster.Endpoint, bool) {
 	now := bo.Clock.Now()
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
-	if bo.fill(list, wo) > spareShare {
+	if bo.fill(list, wo) > maxMeanFill {
 		return roster.Endpoint{}, false
 	}
-	best, least := -1, math.Inf(1)
+	best, lowest := -1, math.Inf(1)
 	for ix, en := range list {
 		ac := bo.accounts[en.ID]
-		if en.ID == primary || now.Before(en.ColdUntil) || ac != nil && now.Before(ac.shunUntil) {
+		if en.ID == primary || now.Before(en.ColdUntil) || ac != nil && now.Before(ac.backoffUntil) {
 			continue
 		}
 		fill := float64(bo.load(en.ID).Held+wo.Prompt+wo.Output) / float64(wo.Engine.MemoryTokens)
-		if fill > standbyShare {
+		if fill > maxStandbyFill {
 			continue
 		}
-		cost := fillCost*fill + tieCost*tie(bo.Instance, en.ID)
+		cost := fillCost*fill + tieBreakCost*tieBreak(bo.Instance, en.ID)
 		if en.Zone != bo.Zone {
 			cost += standbyZoneCost
 		}
-		if cost < least {
-			best, least = ix, cost
+		if cost < lowest {
+			best, lowest = ix, cost
 		}
 	}
 	if best < 0 {
@@ -58,7 +58,7 @@
 	return list[best], true
 }
 
-// fill returns the part of the engines' memory that is planned for.
+// fill returns the mean share of reserved memory over the engines; mu is held.
 func (bo *Board) fill(list []roster.Endpoint, wo Work) float64 {
 	held := 0
 	for _, en := range list {
@@ -67,12 +67,13 @@
 	return float64(held) / float64(max(len(list), 1)*wo.Engine.MemoryTokens)
 }
 
-// Reserve enters memory that a standby copy takes up at an engine.
+// Reserve accounts for the memory of a standby copy at an engine until the ticket
+// ends. The ticket does not count as an in-flight request.
 func (bo *Board) Reserve(en roster.Endpoint, wo Work) *Ticket {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
-	ti := &Ticket{board: bo, id: en.ID, engine: true, reserve: true, held: wo.Prompt + wo.Output}
-	bo.account(en.ID).held += ti.held
-	bo.changed()
+	ti := &Ticket{board: bo, id: en.ID, engine: true, memoryOnly: true, reservedTokens: wo.Prompt + wo.Output}
+	bo.account(en.ID).reservedTokens += ti.reservedTokens
+	bo.notifyChange()
 	return ti
 }
--- a/internal/placement/standby_test.go
+++ b/internal/placement/standby_test.go
@@ -12,8 +12,9 @@
 
 var standbyWork = Work{Engine: testEngine, Prompt: 3000, Output: 400}
 
-// Pattern: engines crash, and zones are cut off. Copies lie at the engine of the
-// instance's zone with most memory to spare.
+// Standby copies protect generations against engine crashes and network
+// partitions. They are placed on the engine with the most free memory, first
+// within the instance's zone.
 func TestWhereStandbyCopiesLie(t *testing.T) {
 	for _, ca := range []struct {
 		name    string
@@ -22,13 +23,13 @@
 		cold    string
 		want    string
 	}{
-		{"most memory to spare", "e0", map[string]int{"e1": 9000, "e2": 4000}, "", "e2"},
-		{"the own zone before more memory", "e0", map[string]int{"e1": 6000, "e2": 6000}, "", "e1 or e2"},
-		{"the own zone also for a run elsewhere", "e3", map[string]int{"e0": 2000, "e1": 2500, "e2": 9000}, "", "e0"},
-		{"another zone where the own has none to spare", "e0", map[string]int{"e1": 20_000, "e2": 20_000}, "", "e3"},
-		{"not at a cold engine", "e0", map[string]int{"e1": 9000}, "e2", "e1"},
-		{"nowhere while the engines are half full", "e3", map[string]int{"e0": 34_000, "e1": 34_000}, "", ""},
-		{"nowhere", "e0", map[string]int{"e1": 20_000, "e2": 20_000, "e3": 20_000}, "", ""},
+		{"engine with the most free memory", "e0", map[string]int{"e1": 9000, "e2": 4000}, "", "e2"},
+		{"own zone preferred to more free memory", "e0", map[string]int{"e1": 6000, "e2": 6000}, "", "e1 or e2"},
+		{"own zone also for a primary in another zone", "e3", map[string]int{"e0": 2000, "e1": 2500, "e2": 9000}, "", "e0"},
+		{"other zone if the own zone has no room", "e0", map[string]int{"e1": 20_000, "e2": 20_000}, "", "e3"},
+		{"not on an engine in cold start", "e0", map[string]int{"e1": 9000}, "e2", "e1"},
+		{"none while the engines are half full on average", "e3", map[string]int{"e0": 34_000, "e1": 34_000}, "", ""},
+		{"none without an engine that has room", "e0", map[string]int{"e1": 20_000, "e2": 20_000, "e3": 20_000}, "", ""},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -52,8 +53,8 @@
 	}
 }
 
-// Reserved memory counts for all instances until it is released, and nothing
-// runs for it.
+// Memory reserved for a standby copy appears in the loads reported to other
+// instances until its ticket ends, and counts as no running generation.
 func TestReservedMemory(t *testing.T) {
 	g := NewWithT(t)
 	bo := newBoard(clockwork.NewFakeClock())
@@ -61,7 +62,7 @@
 	ti := bo.Reserve(en, standbyWork)
 	g.Expect(bo.Loads()).To(Equal(map[string]Load{"e0": {Held: 3400}}))
 	bo.Forget(func(string) bool { return false })
-	g.Expect(bo.Loads()).To(HaveLen(1), "an account with something in it stays")
+	g.Expect(bo.Loads()).To(HaveLen(1), "an account with reserved memory must not be removed")
 	ti.End(Done)
 	ti.End(Done)
 	g.Expect(bo.Loads()).To(BeEmpty())
--- /dev/null
+++ b/internal/placement/zonepath.go
@@ -0,0 +1,63 @@
+package placement
+
+import "time"
+
+const (
+	// zonePathCost applies to all endpoints of another zone for each connection
+	// attempt that failed there recently, up to maxZonePathFailures. At that
+	// maximum even exhausted engines of the own zone are preferred.
+	zonePathCost        = 700.0
+	maxZonePathFailures = 3.0
+	// zonePathHalfLife is short so that traffic returns within seconds after the
+	// path recovers.
+	zonePathHalfLife = 2 * time.Second
+)
+
+// zonePath tracks the reachability of another zone from this instance. A failed
+// connection attempt costs the caller its full duration. During a network
+// partition the other endpoints of that zone are unreachable too, so the failure
+// counts against the whole zone.
+type zonePath struct {
+	// failures is the number of failed connection attempts as of at. It decays
+	// with zonePathHalfLife.
+	failures float64
+	at       time.Time
+}
+
+// failureScore returns the number of failed connection attempts, decayed to now.
+// It is zero for a nil receiver.
+func (zp *zonePath) failureScore(now time.Time) float64 {
+	if zp == nil || zp.failures == 0 {
+		return 0
+	}
+	return zp.failures * decay(now.Sub(zp.at), zonePathHalfLife)
+}
+
+// recordOutcome updates the failures. Any response shows that the path works and
+// resets them. A lost connection leaves them unchanged.
+func (zp *zonePath) recordOutcome(ou Outcome, now time.Time) {
+	switch ou {
+	case Unreachable:
+		zp.failures, zp.at = min(zp.failureScore(now)+1, maxZonePathFailures), now
+	case Done, Failed, Refused:
+		zp.failures = 0
+	case Lost:
+	}
+}
+
+// recordZoneOutcome updates the path to a zone after an attempt there. Attempts
+// within the instance's own zone are ignored. mu is held.
+func (bo *Board) recordZoneOutcome(zone string, ou Outcome) {
+	if zone == bo.Zone {
+		return
+	}
+	if bo.zonePaths == nil {
+		bo.zonePaths = make(map[string]*zonePath)
+	}
+	zp := bo.zonePaths[zone]
+	if zp == nil {
+		zp = &zonePath{}
+		bo.zonePaths[zone] = zp
+	}
+	zp.recordOutcome(ou, bo.Clock.Now())
+}
--- a/internal/placement/border_test.go
+++ b/internal/placement/zonepath_test.go
@@ -8,9 +8,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// Pattern: the zone is cut off. After the first endpoints of another zone that
-// can't be reached, its others are not tried before busy ones at home; once the
-// way has healed they are used again.
+// During a network partition each attempt to another zone costs a caller its full
+// duration. After the first connection attempts to a zone have failed, busy
+// endpoints of the own zone are preferred to the remaining ones there. Once the
+// path has recovered, these are used again.
 func TestZonesBehindACut(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
@@ -18,7 +19,7 @@
 	list := endpoints("a", "b", "b", "b", "b", "c")
 	work := Work{Engine: testEngine, Prompt: 3000, Output: 400}
 	for range 2 {
-		bo.Begin(list[0], work) // home is busy
+		bo.Begin(list[0], work) // the own zone is busy
 	}
 	choose := func() string {
 		ch, found := bo.Choose(list, work, nil)
@@ -28,19 +29,20 @@
 	g.Expect(choose()).To(BeElementOf("b", "c"))
 	bo.Begin(list[1], work).End(Unreachable)
 	bo.Begin(list[2], work).End(Unreachable)
-	g.Expect(choose()).To(Equal("c"), "only the way to b is suspected")
+	g.Expect(choose()).To(Equal("c"), "only the path to zone b has failed")
 	bo.Begin(list[5], work).End(Unreachable)
 	g.Expect(choose()).To(Equal("a"))
 	clock.Advance(10 * time.Second)
-	g.Expect(choose()).To(BeElementOf("b", "c"), "it is forgotten")
+	g.Expect(choose()).To(BeElementOf("b", "c"), "the failures have decayed")
 	bo.Begin(list[1], work).End(Unreachable)
 	bo.Begin(list[5], work).End(Unreachable)
 	g.Expect(choose()).To(Equal("a"))
 	bo.Begin(list[3], work).End(Done)
-	g.Expect(choose()).To(Equal("b"), "an answer shows that the way is open")
+	g.Expect(choose()).To(Equal("b"), "a response shows that the path to zone b works")
 }
 
-// An endpoint at home that can't be reached says nothing of its zone.
+// A failed connection attempt within the own zone counts against that endpoint
+// only, not against the zone.
 func TestHomeHasNoBorder(t *testing.T) {
 	g := NewWithT(t)
 	bo := newBoard(clockwork.NewFakeClock())
