--- a/internal/loadshare/doc.go
+++ b/internal/loadshare/doc.go
@@ -1,12 +1,13 @@
-// Package loadshare lets instances tell each other what they run at which
-// engine, so that a new generation goes where there is room for it.
+// Package loadshare exchanges engine loads between instances, so that each places
+// new generations on engines with free capacity.
 //
-// An instance sends all that it runs, in one datagram, as soon as that changes
-// and at least once in a heartbeat. A datagram that is lost is made up for by
-// the next one, so nothing waits for answers and a cut zone costs nothing but
-// knowledge. This is why the exchange uses datagrams, not the calls that
-// instances make elsewhere. What an instance said counts until it has been
-// silent for three heartbeats.
+// An instance sends its complete load in one datagram whenever it changes, and at
+// least once per heartbeat. Each datagram replaces the one before, so a lost one
+// is repaired by the next, and no instance waits for acknowledgements: during a
+// network partition the loads of the other zone become stale, but nothing blocks.
+// This is why the exchange uses datagrams and not the RPCs that instances use
+// elsewhere. The loads of an instance expire when nothing has arrived from it for
+// three heartbeats.
 //
 // # Usage
 //
--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -16,52 +16,54 @@
 )
 
 const (
-	// heartbeat is how often an instance sends at least.
+	// heartbeat is the maximum time between two messages of an instance.
 	heartbeat = time.Second
-	// gap is how seldom an instance sends at most.
-	gap = 10 * time.Millisecond
-	// farTime is how much each instance of another zone adds to the gap between
-	// two messages there.
-	farTime = 4 * time.Millisecond
-	// silence is the time after which what an instance said is dropped.
-	silence = 3 * heartbeat
+	// minSendInterval is the minimum time between two messages of an instance.
+	minSendInterval = 10 * time.Millisecond
+	// remoteIntervalPerInstance is what each instance in another zone adds to the
+	// minimum time between two messages to other zones.
+	remoteIntervalPerInstance = 4 * time.Millisecond
+	// senderExpiry is the time without messages after which the loads of an
+	// instance expire.
+	senderExpiry = 3 * heartbeat
 )
 
-// Conn sends and receives datagrams; net.UDPConn is one.
+// Conn sends and receives datagrams. *net.UDPConn implements it.
 type Conn interface {
 	ReadFromUDPAddrPort(into []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(data []byte, to netip.AddrPort) (int, error)
 	Close() error
 }
 
-// Exchange tells other instances the loads of this one and takes in theirs.
-// Set the exported fields before Run.
+// Exchange sends the loads of this instance to the others and applies theirs to
+// the Board. Set the exported fields before Run.
 type Exchange struct {
 	Conn     Conn
 	Instance string
 	Zone     string
 	Board    *placement.Board
 	Members  *Members
-	// Turns gets what others announce; set its Instance.
+	// Turns receives the pending moves that other instances announce. Its Instance
+	// must be set.
 	Turns *Turns
 	Clock clockwork.Clock
 	Log   zerolog.Logger
 
-	mu    sync.Mutex
-	heard map[string]*sender
+	mu      sync.Mutex
+	senders map[string]*sender
 }
 
-// sender is another instance.
+// sender is the state of another instance as of its newest message.
 type sender struct {
-	started  uint64
-	sequence uint64
-	at       time.Time
+	startedAt  uint64
+	sequence   uint64
+	receivedAt time.Time
 }
 
 // Name implements controller.Controller.
 func (ex *Exchange) Name() string { return "loadshare" }
 
-// Run sends and receives until ctx ends.
+// Run sends and receives until ctx ends. It closes Conn then.
 func (ex *Exchange) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = ex.Conn.Close() })
 	defer stop()
@@ -75,40 +77,41 @@
 	ti := ex.Clock.NewTicker(heartbeat)
 	defer ti.Stop()
 	me := message{Instance: ex.Instance, Started: uint64(max(ex.Clock.Now().UnixMilli(), 0))}
-	var toldFar time.Time
+	var lastRemoteSend time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ti.Chan():
-			ex.forget()
+			ex.expireSilent()
 		case <-ex.Board.Changes:
 		}
-		near, far := ex.Members.audience(ex.Instance, ex.Zone)
-		moves, news := ex.Turns.mine()
-		if now := ex.Clock.Now(); news || now.Sub(toldFar) >= farGap(len(far)) {
-			toldFar = now
-			near = append(near, far...)
+		sameZone, otherZones := ex.Members.recipients(ex.Instance, ex.Zone)
+		moves, pending := ex.Turns.announced()
+		if now := ex.Clock.Now(); pending || now.Sub(lastRemoteSend) >= remoteSendInterval(len(otherZones)) {
+			lastRemoteSend = now
+			sameZone = append(sameZone, otherZones...)
 		}
 		me.Sequence++
 		me.Loads, me.Moves = ex.Board.Loads(), moves
 		data := encode(me)
-		for _, to := range near {
-			// An address that can't be sent to now is told with the next heartbeat.
+		for _, to := range sameZone {
+			// A failed send is ignored: the next heartbeat sends to the address again.
 			_, _ = ex.Conn.WriteToUDPAddrPort(data, to)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-ex.Clock.After(gap):
+		case <-ex.Clock.After(minSendInterval):
 		}
 	}
 }
 
-// farGap returns how seldom other zones are told at most: with the number of
-// instances there, so that what one instance sends stays bounded.
-func farGap(instances int) time.Duration {
-	return min(time.Duration(instances)*farTime, heartbeat)
+// remoteSendInterval returns the minimum time between two messages to other
+// zones. It grows with the number of instances there, up to heartbeat, which
+// bounds the send rate of one instance.
+func remoteSendInterval(instances int) time.Duration {
+	return min(time.Duration(instances)*remoteIntervalPerInstance, heartbeat)
 }
 
 func (ex *Exchange) receive(ctx context.Context) error {
@@ -119,18 +122,20 @@
 			return nil
 		}
 		if err != nil {
-			// An earlier datagram to an address without a listener can show here.
+			// A read can fail because an earlier datagram went to an address without a
+			// listener.
 			continue
 		}
-		ex.take(buffer[:count])
+		ex.apply(buffer[:count])
 	}
 }
 
-// take takes in one message, unless a newer one of its sender came before.
-func (ex *Exchange) take(data []byte) {
+// apply applies one message, unless it is not newer than the last one of its
+// sender.
+func (ex *Exchange) apply(data []byte) {
 	me, err := decode(data)
 	if err != nil {
-		ex.Log.Info().Str("event", "loads_unreadable").Err(err).Msg("loadshare: message dropped")
+		ex.Log.Info().Str("event", "loads_unreadable").Err(err).Msg("loadshare: dropped a datagram that could not be decoded")
 		return
 	}
 	if me.Instance == ex.Instance {
@@ -138,35 +143,37 @@
 	}
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
-	if ex.heard == nil {
-		ex.heard = make(map[string]*sender)
+	if ex.senders == nil {
+		ex.senders = make(map[string]*sender)
 	}
-	se := ex.heard[me.Instance]
-	if se != nil && (me.Started < se.started || me.Started == se.started && me.Sequence <= se.sequence) {
+	se := ex.senders[me.Instance]
+	if se != nil && (me.Started < se.startedAt || me.Started == se.startedAt && me.Sequence <= se.sequence) {
 		return
 	}
-	ex.heard[me.Instance] = &sender{started: me.Started, sequence: me.Sequence, at: ex.Clock.Now()}
+	ex.senders[me.Instance] = &sender{startedAt: me.Started, sequence: me.Sequence, receivedAt: ex.Clock.Now()}
 	ex.Board.SetRemoteLoads(me.Instance, me.Loads)
-	ex.Turns.take(me.Instance, me.Moves)
+	ex.Turns.apply(me.Instance, me.Moves)
 }
 
-// forget drops what silent instances said.
-func (ex *Exchange) forget() {
+// expireSilent drops the loads and announced moves of instances that have sent
+// nothing for senderExpiry.
+func (ex *Exchange) expireSilent() {
 	now := ex.Clock.Now()
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
-	for name, se := range ex.heard {
-		if now.Sub(se.at) > silence {
+	for name, se := range ex.senders {
+		if now.Sub(se.receivedAt) > senderExpiry {
 			ex.Board.SetRemoteLoads(name, nil)
-			ex.Turns.take(name, nil)
-			delete(ex.heard, name)
+			ex.Turns.apply(name, nil)
+			delete(ex.senders, name)
 		}
 	}
 }
 
-// Heard tells whether another instance was heard lately.
+// Heard reports whether a message of another instance has arrived and not yet
+// expired.
 func (ex *Exchange) Heard(name string) bool {
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
-	return ex.heard[name] != nil
+	return ex.senders[name] != nil
 }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -43,25 +43,25 @@
 		NewWithT(rt).Expect(got).To(Equal(me))
 		cut := encode(me)
 		if _, err := decode(cut[:len(cut)-1]); err == nil {
-			rt.Fatal("a message that was cut off was read")
+			rt.Fatal("decode accepted a truncated message")
 		}
 	})
 }
 
 func FuzzDecode(f *testing.F) {
 	f.Add(encode(message{Instance: "i", Loads: map[string]placement.Load{"e": {Running: 1}}, Moves: map[string]int{"e": 1}}))
-	f.Add([]byte{formVersion, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
+	f.Add([]byte{wireVersion, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		me, err := decode(data)
 		if err != nil {
 			return
 		}
 		if me.Instance == "" {
-			t.Error("a message without a sender was read")
+			t.Error("decode accepted a message without a sender")
 		}
 		for id, lo := range me.Loads {
 			if lo.Running < 0 || lo.Reading < 0 || lo.Held < 0 {
-				t.Errorf("a load below zero at %q", id)
+				t.Errorf("decode returned a negative load for endpoint %q", id)
 			}
 		}
 	})
@@ -76,32 +76,33 @@
 
 var engine = &routing.Engine{Slots: 24, MemoryTokens: 30_000}
 
-// Lost, doubled and late messages leave no trace once a newer one has come.
+// Datagrams can be lost, duplicated and reordered. Guards against a message that
+// is not newer than the last one of its sender replacing that sender's loads.
 func TestMessagesOutOfOrder(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
 	ex := newExchange(clock, "i1")
 	send := func(started, sequence uint64, running int) {
-		ex.take(encode(message{Instance: "i2", Started: started, Sequence: sequence, Loads: map[string]placement.Load{"e": {Running: running}}}))
+		ex.apply(encode(message{Instance: "i2", Started: started, Sequence: sequence, Loads: map[string]placement.Load{"e": {Running: running}}}))
 	}
-	cost := func() float64 {
+	runningTotal := func() float64 {
 		ch, _ := ex.Board.Choose([]roster.Endpoint{{ID: "e", Zone: "a"}}, placement.Work{Engine: engine}, nil)
 		return float64(ch.Load.Running)
 	}
 	send(1, 5, 3)
-	g.Expect(cost()).To(BeEquivalentTo(3))
+	g.Expect(runningTotal()).To(BeEquivalentTo(3))
 	send(1, 4, 9)
 	send(1, 5, 9)
-	g.Expect(cost()).To(BeEquivalentTo(3), "late and doubled")
+	g.Expect(runningTotal()).To(BeEquivalentTo(3), "late and duplicate messages must be ignored")
 	send(2, 1, 1)
-	g.Expect(cost()).To(BeEquivalentTo(1), "a new start begins anew")
+	g.Expect(runningTotal()).To(BeEquivalentTo(1), "a restarted sender begins a new sequence")
 	send(1, 6, 9)
-	g.Expect(cost()).To(BeEquivalentTo(1), "of the start before")
-	ex.take([]byte("no message"))
+	g.Expect(runningTotal()).To(BeEquivalentTo(1), "a message sent before the restart must be ignored")
+	ex.apply([]byte("no message"))
 	g.Expect(ex.Heard("i2")).To(BeTrue())
-	clock.Advance(silence + time.Millisecond)
-	ex.forget()
-	g.Expect(cost()).To(BeZero(), "a silent instance counts no more")
+	clock.Advance(senderExpiry + time.Millisecond)
+	ex.expireSilent()
+	g.Expect(runningTotal()).To(BeZero(), "the loads of a silent instance must expire")
 	g.Expect(ex.Heard("i2")).To(BeFalse())
 }
 
@@ -112,31 +113,32 @@
 		first, second = second, first
 	}
 	tu := &Turns{Instance: second}
-	tu.take(first, map[string]int{"e": 2})
+	tu.apply(first, map[string]int{"e": 2})
 	g.Expect(tu.Ahead("e")).To(Equal(2))
 	g.Expect(tu.Ahead("other")).To(BeZero())
-	tu.take(first, map[string]int{"e": 1})
+	tu.apply(first, map[string]int{"e": 1})
 	g.Expect(tu.Ahead("e")).To(Equal(1))
-	tu.take(first, nil)
+	tu.apply(first, nil)
 	g.Expect(tu.Ahead("e")).To(BeZero())
 	tu = &Turns{Instance: first}
-	tu.take(second, map[string]int{"e": 2})
-	g.Expect(tu.Ahead("e")).To(BeZero(), "those behind are not waited for")
+	tu.apply(second, map[string]int{"e": 2})
+	g.Expect(tu.Ahead("e")).To(BeZero(), "instances later in the order do not count")
 	tu.Announce("e", 3)
-	moves, news := tu.mine()
+	moves, pending := tu.announced()
 	g.Expect(moves).To(Equal(map[string]int{"e": 3}))
-	g.Expect(news).To(BeTrue())
-	_, news = tu.mine()
-	g.Expect(news).To(BeFalse())
+	g.Expect(pending).To(BeTrue())
+	_, pending = tu.announced()
+	g.Expect(pending).To(BeFalse())
 }
 
 func TestFarZonesAreToldSeldom(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(farGap(4)).To(Equal(4 * farTime))
-	g.Expect(farGap(100_000)).To(Equal(heartbeat))
+	g.Expect(remoteSendInterval(4)).To(Equal(4 * remoteIntervalPerInstance))
+	g.Expect(remoteSendInterval(100_000)).To(Equal(heartbeat))
 }
 
-// Two instances over real datagrams: what one begins, the other knows.
+// Two instances exchange UDP datagrams: a generation that one begins appears in
+// the loads of the other, and disappears when it ends.
 func TestExchangeOverDatagrams(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewRealClock()
--- a/internal/loadshare/member.go
+++ b/internal/loadshare/member.go
@@ -6,10 +6,11 @@
 	"filbertstall.example/filbertstall/internal/snapshot"
 )
 
-// Member is an instance as it registered itself.
+// Member is an instance, as registered by itself.
 type Member struct {
-	Name    string
-	Zone    string
+	Name string
+	Zone string
+	// Address is the peer address of the instance.
 	Address netip.AddrPort
 	// Link is the bandwidth of the instance, in Mbit/s.
 	Link int
@@ -24,7 +25,7 @@
 // Set replaces the list.
 func (ms *Members) Set(list []Member) { ms.holder.Store(&list) }
 
-// List returns the list, which must not be changed.
+// List returns the current list, which the caller must not change.
 func (ms *Members) List() []Member {
 	if list := ms.holder.Load(); list != nil {
 		return *list
@@ -32,17 +33,17 @@
 	return nil
 }
 
-// audience returns whom an instance tells its loads, by whether they are in
-// its zone.
-func (ms *Members) audience(name, zone string) (near, far []netip.AddrPort) {
+// recipients returns the addresses of all other instances, split by whether they
+// are in the given zone.
+func (ms *Members) recipients(name, zone string) (sameZone, otherZones []netip.AddrPort) {
 	for _, me := range ms.List() {
 		switch {
 		case me.Name == name:
 		case me.Zone == zone:
-			near = append(near, me.Address)
+			sameZone = append(sameZone, me.Address)
 		default:
-			far = append(far, me.Address)
+			otherZones = append(otherZones, me.Address)
 		}
 	}
-	return near, far
+	return sameZone, otherZones
 }
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -8,51 +8,55 @@
 	"filbertstall.example/filbertstall/internal/placement"
 )
 
-// message is one datagram. Its form is internal to instances of one version:
-// numbers are unsigned varints, texts and lists follow their lengths.
+// message is one datagram. Its encoding is private to instances of one version:
+// numbers are unsigned varints, and strings and lists are prefixed with their
+// length.
 type message struct {
 	Instance string
-	// Started is when the sender started, in Unix milliseconds.
+	// Started is the start time of the sender, in Unix milliseconds.
 	Started uint64
-	// Sequence rises with each message of one start; an older one that arrives
-	// late is dropped.
+	// Sequence increases with each message since Started. The receiver drops
+	// messages that arrive after a newer one.
 	Sequence uint64
-	// Loads is what the sender runs at each engine.
+	// Loads has the load that the sender places on each engine, by endpoint ID.
 	Loads map[string]placement.Load
-	// Moves are the runs that the sender wants to move off engines.
+	// Moves has the number of runs that the sender has still to move off each
+	// engine, by endpoint ID.
 	Moves map[string]int
 }
 
 const (
-	// formVersion is the first number of each message.
-	formVersion = 1
-	// maxDatagram bounds a message, and maxEntries each of its lists.
+	// wireVersion is the first number of each message.
+	wireVersion = 1
+	// maxDatagram is the size of the receive buffer, in bytes. maxEntries is the
+	// maximum length of each list that decode accepts.
 	maxDatagram = 32 << 10
 	maxEntries  = 4096
-	// maxCount bounds the numbers of a load.
+	// maxCount is the maximum value of each count that decode accepts.
 	maxCount = 1 << 40
 )
 
-// ErrForm is returned for a datagram that is not a message.
-var ErrForm = errors.New("loadshare: not a message")
+// ErrMalformed is returned for a datagram that is not a valid message of this
+// version.
+var ErrMalformed = errors.New("loadshare: datagram is not a valid load message")
 
-// encode returns the datagram of a message.
+// encode returns the datagram of a message. Negative numbers are sent as zero.
 func encode(me message) []byte {
-	data := binary.AppendUvarint(nil, formVersion)
-	data = appendText(data, me.Instance)
+	data := binary.AppendUvarint(nil, wireVersion)
+	data = appendString(data, me.Instance)
 	data = binary.AppendUvarint(data, me.Started)
 	data = binary.AppendUvarint(data, me.Sequence)
 	data = binary.AppendUvarint(data, uint64(len(me.Loads)))
 	for _, id := range sortedKeys(me.Loads) {
 		lo := me.Loads[id]
-		data = appendText(data, id)
+		data = appendString(data, id)
 		for _, number := range []int{lo.Running, lo.Reading, lo.Held} {
 			data = binary.AppendUvarint(data, uint64(max(number, 0)))
 		}
 	}
 	data = binary.AppendUvarint(data, uint64(len(me.Moves)))
 	for _, id := range sortedKeys(me.Moves) {
-		data = appendText(data, id)
+		data = appendString(data, id)
 		data = binary.AppendUvarint(data, uint64(max(me.Moves[id], 0)))
 	}
 	return data
@@ -67,75 +71,76 @@
 	return keys
 }
 
-func appendText(data []byte, text string) []byte {
+func appendString(data []byte, text string) []byte {
 	data = binary.AppendUvarint(data, uint64(len(text)))
 	return append(data, text...)
 }
 
-// decode reads a datagram.
+// decode parses a datagram, or returns ErrMalformed.
 func decode(data []byte) (message, error) {
 	re := reader{data: data}
-	if re.number() != formVersion {
-		return message{}, ErrForm
+	if re.uvarint() != wireVersion {
+		return message{}, ErrMalformed
 	}
-	me := message{Instance: re.text(), Started: re.number(), Sequence: re.number()}
+	me := message{Instance: re.stringValue(), Started: re.uvarint(), Sequence: re.uvarint()}
 	me.Loads = make(map[string]placement.Load)
-	for range re.entries() {
-		id := re.text()
+	for range re.listLength() {
+		id := re.stringValue()
 		me.Loads[id] = placement.Load{Running: re.count(), Reading: re.count(), Held: re.count()}
 	}
 	me.Moves = make(map[string]int)
-	for range re.entries() {
-		id := re.text()
+	for range re.listLength() {
+		id := re.stringValue()
 		me.Moves[id] = re.count()
 	}
-	if re.bad || len(re.data) > 0 || me.Instance == "" {
-		return message{}, ErrForm
+	if re.malformed || len(re.data) > 0 || me.Instance == "" {
+		return message{}, ErrMalformed
 	}
 	return me, nil
 }
 
-// reader reads the parts of a datagram. After a part that can't be read, all
-// parts are empty and bad is set.
+// reader parses the fields of a datagram. After a number or string that is
+// truncated, malformed is set and all further fields are empty.
 type reader struct {
-	data []byte
-	bad  bool
+	data      []byte
+	malformed bool
 }
 
-func (re *reader) number() uint64 {
+func (re *reader) uvarint() uint64 {
 	number, size := binary.Uvarint(re.data)
 	if size <= 0 {
-		re.bad, re.data = true, nil
+		re.malformed, re.data = true, nil
 		return 0
 	}
 	re.data = re.data[size:]
 	return number
 }
 
-// count reads a number of a load; one that is too large is no message.
+// count reads a count. Values above maxCount make the datagram malformed.
 func (re *reader) count() int {
-	number := re.number()
+	number := re.uvarint()
 	if number > maxCount {
-		re.bad = true
+		re.malformed = true
 		return 0
 	}
 	return int(number)
 }
 
-// entries reads the length of a list.
-func (re *reader) entries() int {
-	number := re.number()
+// listLength reads the length of a list. Lengths above maxEntries make the
+// datagram malformed.
+func (re *reader) listLength() int {
+	number := re.uvarint()
 	if number > maxEntries {
-		re.bad = true
+		re.malformed = true
 		return 0
 	}
 	return int(number)
 }
 
-func (re *reader) text() string {
-	size := re.number()
+func (re *reader) stringValue() string {
+	size := re.uvarint()
 	if size > uint64(len(re.data)) {
-		re.bad, re.data = true, nil
+		re.malformed, re.data = true, nil
 		return ""
 	}
 	text := string(re.data[:size])
--- a/internal/loadshare/turn.go
+++ b/internal/loadshare/turn.go
@@ -7,20 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Turns orders the moves of several instances off one engine: for each engine
-// the instances have an order of their own, and each tells how many runs it
-// has still to move. It implements migration.Turns. Set the exported fields
-// before use. It is safe for concurrent use.
+// Turns orders the moves by which several instances migrate runs off the same
+// engine. Each engine has its own order of the instances, and each instance
+// announces how many runs it has still to move. It implements migration.Turns. Set
+// the exported fields before use. It is safe for concurrent use.
 type Turns struct {
 	Instance string
-	// Changes gets a value when there is something to tell.
+	// Changes receives a value when the announcements of this instance change. The
+	// send does not block: it is skipped if the channel is full.
 	Changes chan<- struct{}
 
 	mu sync.Mutex
-	// news tells that something was announced that was not sent yet.
-	news   bool
-	own    map[string]int
-	others map[string]map[string]int // by engine and instance
+	// pending is true if an announcement has changed since the last call of
+	// announced.
+	pending bool
+	own     map[string]int            // by engine
+	others  map[string]map[string]int // by engine and instance
 }
 
 // Announce implements migration.Turns.
@@ -34,7 +36,7 @@
 		tu.own = make(map[string]int)
 	}
 	tu.own[endpoint] = runs
-	tu.news = true
+	tu.pending = true
 	if runs == 0 {
 		delete(tu.own, endpoint)
 	}
@@ -58,19 +60,21 @@
 	return count
 }
 
-// rank is the place of an instance in the order for an engine.
+// rank returns the position of an instance in the order for an engine: lower
+// ranks move first.
 func rank(endpoint, instance string) uint64 { return xxhash.Sum64String(endpoint + "/" + instance) }
 
-// mine returns what this instance has announced, and whether that is news.
-func (tu *Turns) mine() (moves map[string]int, news bool) {
+// announced returns the pending moves of this instance, by engine, and whether
+// they have changed since the last call.
+func (tu *Turns) announced() (moves map[string]int, pending bool) {
 	tu.mu.Lock()
 	defer tu.mu.Unlock()
-	news, tu.news = tu.news, false
-	return maps.Clone(tu.own), news
+	pending, tu.pending = tu.pending, false
+	return maps.Clone(tu.own), pending
 }
 
-// take replaces what another instance has announced.
-func (tu *Turns) take(instance string, moves map[string]int) {
+// apply replaces the announcements of another instance. Nil moves remove them.
+func (tu *Turns) apply(instance string, moves map[string]int) {
 	tu.mu.Lock()
 	defer tu.mu.Unlock()
 	for endpoint, runs := range tu.others {
