--- a/internal/suspicion/doc.go
+++ b/internal/suspicion/doc.go
@@ -1,11 +1,13 @@
-// Package suspicion remembers which requests were running at endpoints that
-// died, for all entry instances together.
+// Package suspicion detects requests that crash endpoints. It records which
+// requests were running on endpoints that crashed, and shares these records among
+// all instances.
 //
-// A request is known by its fingerprint. One loss makes it a suspect: it is
-// tried again apart from other suspects. Two losses and it is refused. A
-// request that finishes is cleared of the losses known then. Losses and
-// clearings only accumulate, so instances may learn of them in any order and
-// more than once.
+// A request is identified by its fingerprint. After one loss, the crash of an
+// endpoint that ran it, the request is a suspect and is retried apart from other
+// suspects. After two losses it is refused. A request that completes is cleared of
+// the losses known at that time. Losses and clearings only accumulate, and merging
+// them is idempotent and commutative, so instances may learn of them in any order
+// and more than once.
 //
 // # Usage
 //
@@ -13,5 +15,5 @@
 //	err := server.Register(suspicion.ServiceName, re.Service())
 //	re.Lost(ctx, fingerprint, suspicion.Loss{Endpoint: "engine-3", Boot: "b1"})
 //	if re.Verdict(fingerprint) == suspicion.Refuse { ... }
-//	go re.Run(ctx) // a controller.Controller, makes up for lost notices
+//	go re.Run(ctx) // a controller.Controller, repairs lost notifications
 package suspicion
--- a/internal/suspicion/registry.go
+++ b/internal/suspicion/registry.go
@@ -14,102 +14,110 @@
 const (
 	// ServiceName is the net/rpc name of the service.
 	ServiceName = "Suspicion"
-	// refuseLosses is how many endpoints a request may cost.
-	refuseLosses = 2
-	// retention is how long a loss counts.
+	// refuseAfterLosses is the number of uncleared losses at which a request is
+	// refused.
+	refuseAfterLosses = 2
+	// retention is how long a record counts after its newest loss or clearing.
 	retention = time.Hour
-	// maxFingerprints bounds the registry; the oldest leaves first.
+	// maxFingerprints is the maximum number of records. The oldest is evicted first.
 	maxFingerprints = 4096
-	// shareTimeout bounds the wait for peers before a suspect is tried again.
+	// shareTimeout bounds the wait for peers before a suspect is retried.
 	shareTimeout = 300 * time.Millisecond
-	// pullInterval is how often one peer's registry is merged.
+	// pullInterval is the time between two merges with the registry of a random
+	// peer.
 	pullInterval = 5 * time.Second
 )
 
-// Verdict says how a request is treated.
+// Verdict is the decision on whether and where a request may run.
 type Verdict int
 
 // The verdicts.
 const (
-	// Clear requests run anywhere.
+	// Clear means that the request may run on any endpoint.
 	Clear Verdict = iota
-	// Suspect requests run apart from other suspects.
+	// Suspect means that the request runs apart from other suspects.
 	Suspect
-	// Refuse means that the request is not run again.
+	// Refuse means that the request must not run again.
 	Refuse
 )
 
-// Loss is one death of an endpoint.
+// Loss identifies one crash of an endpoint.
 type Loss struct {
 	Endpoint string
-	// Boot is the boot id of the process that died, empty if unknown.
+	// Boot is the boot ID of the process that crashed. It is empty if unknown.
 	Boot string
 }
 
-// Case is what is known of one fingerprint.
+// Case is the record of one fingerprint, as peers exchange it.
 type Case struct {
 	Fingerprint uint64
-	Losses      []Loss
-	// Cleared are losses that the request did not cause.
+	// Losses are the losses that the request may have caused.
+	Losses []Loss
+	// Cleared are the losses that the request did not cause: it completed later.
 	Cleared []Loss
 }
 
-// Registry is one instance's view of the suspects. Set the fields before the
-// first call. It is safe for concurrent use.
+// Registry holds the records known to one instance. Set the exported fields before
+// the first call. It is safe for concurrent use.
 type Registry struct {
 	Caller peer.Caller
 	// Peers returns the peer addresses of the other instances.
 	Peers func() []string
 	Clock clockwork.Clock
 
-	mu    sync.Mutex
-	files map[uint64]*file
+	mu      sync.Mutex
+	records map[uint64]*record
+	// order has the fingerprints of records, oldest first.
 	order []uint64
 }
 
-// file is the record of one fingerprint: each loss and whether it is cleared.
-type file struct {
+// record has the losses of one fingerprint.
+type record struct {
+	// losses maps each loss to whether it is cleared.
 	losses map[Loss]bool
+	// newest is the time of the newest loss or clearing that merge added.
 	newest time.Time
 }
 
-// Verdict returns how a request is treated. Zero is no fingerprint.
+// Verdict returns the decision on a request. The fingerprint zero stands for a
+// request without one, which is always clear.
 func (re *Registry) Verdict(fingerprint uint64) Verdict {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	fi, found := re.files[fingerprint]
-	if !found || re.Clock.Since(fi.newest) > retention {
+	rc, found := re.records[fingerprint]
+	if !found || re.Clock.Since(rc.newest) > retention {
 		return Clear
 	}
-	open := 0
-	for _, cleared := range fi.losses {
+	uncleared := 0
+	for _, cleared := range rc.losses {
 		if !cleared {
-			open++
+			uncleared++
 		}
 	}
 	switch {
-	case open >= refuseLosses:
+	case uncleared >= refuseAfterLosses:
 		return Refuse
-	case open > 0:
+	case uncleared > 0:
 		return Suspect
 	default:
 		return Clear
 	}
 }
 
-// Lost notes that an endpoint died while it ran the request, and returns when
-// the peers that answer in time know it too.
+// Lost records that an endpoint crashed while it ran the request. It returns when
+// all peers have answered, after shareTimeout, or when ctx ends.
 func (re *Registry) Lost(ctx context.Context, fingerprint uint64, lo Loss) {
 	ca := Case{Fingerprint: fingerprint, Losses: []Loss{lo}}
 	re.merge(ca)
-	re.share(ctx, ca)
+	re.broadcast(ctx, ca)
 }
 
-// Finished clears a request that came to its end.
+// Finished clears a completed request of all losses known now. If that changes its
+// record, it notifies the peers and waits for them like Lost.
 func (re *Registry) Finished(ctx context.Context, fingerprint uint64) {
-	ca, open := re.clear(fingerprint)
-	if open {
-		re.share(ctx, ca)
+	ca, changed := re.clear(fingerprint)
+	if changed {
+		re.broadcast(ctx, ca)
 	}
 }
 
@@ -117,60 +125,62 @@
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	ca := Case{Fingerprint: fingerprint}
-	fi, found := re.files[fingerprint]
+	rc, found := re.records[fingerprint]
 	if !found {
 		return ca, false
 	}
-	for lo, cleared := range fi.losses {
+	for lo, cleared := range rc.losses {
 		if !cleared {
-			fi.losses[lo] = true
+			rc.losses[lo] = true
 			ca.Cleared = append(ca.Cleared, lo)
 		}
 	}
 	return ca, len(ca.Cleared) > 0
 }
 
-// merge adds a case. Clearing wins over the same loss.
+// merge adds the losses and clearings of a case. A loss that is cleared on either
+// side stays cleared.
 func (re *Registry) merge(ca Case) {
 	if ca.Fingerprint == 0 {
 		return
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	fi, found := re.files[ca.Fingerprint]
+	rc, found := re.records[ca.Fingerprint]
 	if !found {
-		fi = re.open(ca.Fingerprint)
+		rc = re.addRecord(ca.Fingerprint)
 	}
 	for _, lo := range ca.Losses {
-		if _, known := fi.losses[lo]; !known {
-			fi.losses[lo] = false
-			fi.newest = re.Clock.Now()
+		if _, known := rc.losses[lo]; !known {
+			rc.losses[lo] = false
+			rc.newest = re.Clock.Now()
 		}
 	}
 	for _, lo := range ca.Cleared {
-		if !fi.losses[lo] {
-			fi.losses[lo] = true
-			fi.newest = re.Clock.Now()
+		if !rc.losses[lo] {
+			rc.losses[lo] = true
+			rc.newest = re.Clock.Now()
 		}
 	}
 }
 
-func (re *Registry) open(fingerprint uint64) *file {
-	if re.files == nil {
-		re.files = make(map[uint64]*file)
+func (re *Registry) addRecord(fingerprint uint64) *record {
+	if re.records == nil {
+		re.records = make(map[uint64]*record)
 	}
 	if len(re.order) >= maxFingerprints {
-		delete(re.files, re.order[0])
+		delete(re.records, re.order[0])
 		re.order = re.order[1:]
 	}
-	fi := &file{losses: make(map[Loss]bool)}
-	re.files[fingerprint] = fi
+	rc := &record{losses: make(map[Loss]bool)}
+	re.records[fingerprint] = rc
 	re.order = append(re.order, fingerprint)
-	return fi
+	return rc
 }
 
-// share tells all peers at once and waits for those that answer in time.
-func (re *Registry) share(ctx context.Context, ca Case) {
+// broadcast sends a case to all peers concurrently. It waits until all have
+// answered, or for shareTimeout. Errors are ignored: Run repairs what is missed.
+func (re *Registry) broadcast(ctx context.Context, ca Case) {
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -183,17 +193,17 @@
 	wg.Wait()
 }
 
-// cases returns all that still counts.
+// cases returns the records that are within retention.
 func (re *Registry) cases() []Case {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	var list []Case
-	for fingerprint, fi := range re.files {
-		if re.Clock.Since(fi.newest) > retention {
+	for fingerprint, rc := range re.records {
+		if re.Clock.Since(rc.newest) > retention {
 			continue
 		}
 		ca := Case{Fingerprint: fingerprint}
-		for lo, cleared := range fi.losses {
+		for lo, cleared := range rc.losses {
 			if cleared {
 				ca.Cleared = append(ca.Cleared, lo)
 			} else {
@@ -208,19 +218,19 @@
 // Name implements controller.Controller.
 func (re *Registry) Name() string { return "suspicion" }
 
-// Run merges the registry of one peer at a time until ctx ends.
+// Run merges the registry of one random peer every pullInterval until ctx ends.
 func (re *Registry) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-re.Clock.After(pullInterval):
-			re.pull(ctx)
+			re.pullFromPeer(ctx)
 		}
 	}
 }
 
-func (re *Registry) pull(ctx context.Context) {
+func (re *Registry) pullFromPeer(ctx context.Context) {
 	peers := re.Peers()
 	if len(peers) == 0 {
 		return
@@ -236,30 +246,30 @@
 	}
 }
 
-// Query asks for all cases.
+// Query is the argument of Service.All.
 type Query struct {
-	// Reserved keeps the message encodable; gob refuses empty structs.
+	// Reserved is unused. It is present because gob cannot encode empty structs.
 	Reserved bool
 }
 
-// Reply carries cases.
+// Reply is the result of the methods of Service. Share leaves it empty.
 type Reply struct {
 	Cases []Case
 }
 
-// Service is the net/rpc side of a Registry.
+// Service serves a Registry over net/rpc.
 type Service struct{ re *Registry }
 
-// Service returns what peer.Server registers under ServiceName.
+// Service returns the receiver to register with peer.Server under ServiceName.
 func (re *Registry) Service() *Service { return &Service{re: re} }
 
-// Share takes in one case of a peer.
+// Share merges one case of a peer.
 func (se *Service) Share(ca *Case, _ *Reply) error {
 	se.re.merge(*ca)
 	return nil
 }
 
-// All returns all cases.
+// All returns the cases that are within retention.
 func (se *Service) All(_ *Query, reply *Reply) error {
 	reply.Cases = se.re.cases()
 	return nil
--- a/internal/suspicion/registry_test.go
+++ b/internal/suspicion/registry_test.go
@@ -19,14 +19,14 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// mesh joins registries in memory; cut registries answer nothing.
+// mesh connects registries in memory. Calls to partitioned registries fail.
 type mesh struct {
-	list []*Registry
-	cut  map[string]bool
+	list        []*Registry
+	partitioned map[string]bool
 }
 
 func newMesh(size int, clock clockwork.Clock) *mesh {
-	me := &mesh{cut: make(map[string]bool)}
+	me := &mesh{partitioned: make(map[string]bool)}
 	for ix := range size {
 		peers := func() []string {
 			var list []string
@@ -43,8 +43,8 @@
 }
 
 func (me *mesh) Call(_ context.Context, address, method string, args, reply any) error {
-	if me.cut[address] {
-		return errors.New("cut")
+	if me.partitioned[address] {
+		return errors.New("registry is partitioned")
 	}
 	ix, _ := strconv.Atoi(address)
 	if strings.HasSuffix(method, ".Share") {
@@ -53,8 +53,9 @@
 	return me.list[ix].Service().All(args.(*Query), reply.(*Reply))
 }
 
-// In whatever order losses, clearings, cuts and merges come, all instances
-// agree once each has merged every other.
+// Guards against diverging verdicts: whatever the order of losses, clearings,
+// network partitions and merges, all instances agree once each has merged the
+// records of every other.
 func TestRegistriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
@@ -71,9 +72,9 @@
 			},
 			"cut": func(t *rapid.T) {
 				address := strconv.Itoa(instance.Draw(t, "instance"))
-				me.cut[address] = !me.cut[address]
+				me.partitioned[address] = !me.partitioned[address]
 			},
-			"pull": func(t *rapid.T) { me.list[instance.Draw(t, "instance")].pull(t.Context()) },
+			"pull": func(t *rapid.T) { me.list[instance.Draw(t, "instance")].pullFromPeer(t.Context()) },
 		})
 		for _, from := range me.list {
 			for _, to := range me.list {
@@ -85,7 +86,7 @@
 		for fp := range uint64(4) {
 			first := me.list[0].Verdict(fp)
 			if me.list[1].Verdict(fp) != first || me.list[2].Verdict(fp) != first {
-				t.Fatalf("verdicts differ on %d", fp)
+				t.Fatalf("registries disagree on the verdict for fingerprint %d", fp)
 			}
 		}
 	})
@@ -98,12 +99,12 @@
 	ctx := t.Context()
 	me.list[0].Lost(ctx, 7, Loss{Endpoint: "engine-1", Boot: "a"})
 	me.list[1].Lost(ctx, 7, Loss{Endpoint: "engine-1", Boot: "a"})
-	gm.Expect(me.list[1].Verdict(7)).To(Equal(Suspect), "one death is counted once")
+	gm.Expect(me.list[1].Verdict(7)).To(Equal(Suspect), "the same crash must count once")
 	me.list[1].Lost(ctx, 7, Loss{Endpoint: "engine-2", Boot: "b"})
 	gm.Expect(me.list[0].Verdict(7)).To(Equal(Refuse))
 	me.list[0].Lost(ctx, 8, Loss{Endpoint: "engine-2", Boot: "b"})
 	me.list[0].Finished(ctx, 8)
-	gm.Expect(me.list[1].Verdict(8)).To(Equal(Clear), "it finished, so it was beside the cause")
+	gm.Expect(me.list[1].Verdict(8)).To(Equal(Clear), "a completed request did not cause the crash")
 	me.list[0].Lost(ctx, 0, Loss{Endpoint: "engine-2"})
 	gm.Expect(me.list[0].Verdict(0)).To(Equal(Clear))
 	clock.Advance(2 * time.Hour)
