--- a/internal/retry/bucket.go
+++ b/internal/retry/bucket.go
@@ -3,42 +3,44 @@
 import "sync"
 
 const (
-	// depositPerRequest is what a caller's request adds to the bucket. It is
-	// under a tenth by so much that reserve fits in from 500 requests on.
+	// depositPerRequest is the number of tokens that each caller's request adds. It
+	// is less than 0.1, so that from 500 requests on the initial tokens are within
+	// the bound of 1.1 times the callers' load.
 	depositPerRequest = 0.09
-	// reserve is the bucket's first content, for services with few calls.
-	reserve = 5
-	// bucketLimit bounds the tries that a quiet time saves up.
-	bucketLimit = 50
+	// initialTokens lets services with few calls retry.
+	initialTokens = 5
+	// maxTokens is the capacity of a bucket. It bounds the burst of retries after a
+	// period without failures.
+	maxTokens = 50
 )
 
-// bucket is a token bucket that is filled by requests, not by time. The zero
-// bucket is ready.
+// bucket is a token bucket that is filled by requests, not by time. The zero value
+// is ready to use.
 type bucket struct {
-	mu     sync.Mutex
-	tokens float64
-	begun  bool
+	mu          sync.Mutex
+	tokens      float64
+	initialized bool
 }
 
-func (bu *bucket) begin() {
-	if !bu.begun {
-		bu.begun, bu.tokens = true, reserve
+func (bu *bucket) initialize() {
+	if !bu.initialized {
+		bu.initialized, bu.tokens = true, initialTokens
 	}
 }
 
-// deposit adds the share of one request.
+// deposit adds depositPerRequest.
 func (bu *bucket) deposit() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
-	bu.begin()
-	bu.tokens = min(bu.tokens+depositPerRequest, bucketLimit)
+	bu.initialize()
+	bu.tokens = min(bu.tokens+depositPerRequest, maxTokens)
 }
 
-// withdraw takes one token, or tells that there is none.
+// withdraw takes one token. It returns false if less than one is left.
 func (bu *bucket) withdraw() bool {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
-	bu.begin()
+	bu.initialize()
 	if bu.tokens < 1 {
 		return false
 	}
--- a/internal/retry/doc.go
+++ b/internal/retry/doc.go
@@ -1,16 +1,17 @@
-// Package retry decides whether a try that failed is made again, and when.
+// Package retry decides whether a failed attempt is retried, and after which
+// back-off.
 //
-// Each service has one budget for retries and hedges together: a token bucket
-// that callers' requests fill, so that the load offered to endpoints stays
-// within 1.1 times the callers' load however many endpoints fail. Pauses are
-// drawn with full jitter. What may have begun at an endpoint is repeated only
-// if the call is idempotent.
+// Each service has one retry budget for retries and hedged requests together: a
+// token bucket that callers' requests fill. It keeps the load offered to endpoints
+// within 1.1 times the callers' load, however many endpoints fail. The back-off is
+// exponential with full jitter. A call that may have begun to run at an endpoint is
+// retried only if it is idempotent.
 //
 // # Usage
 //
 //	po := &retry.Policy{Scope: scope}
 //	po.Arrived("filbert-pool")                    // once for each caller's request
-//	pause, again := po.Again(retry.Try{Service: "filbert-pool", Number: 1, Reason: retry.Lost, Idempotent: true})
+//	backoff, again := po.Again(retry.Try{Service: "filbert-pool", Number: 1, Reason: retry.Lost, Idempotent: true})
 //
 //	value, err := retry.Hedge(ctx, hedge, func(ctx context.Context) (T, error) { ... })
 package retry
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -10,22 +10,21 @@
 )
 
 const (
-	// latencySamples is how many latencies a Latency remembers.
+	// latencySamples is the number of samples that a Latency keeps.
 	latencySamples = 64
-	// slowRank is the place in sorted order above which a call counts as slow,
-	// the 95th percentile.
+	// slowRank is the index of the 95th percentile in the sorted samples.
 	slowRank = latencySamples * 95 / 100
 )
 
-// Latency remembers a service's last latencies. It is safe for concurrent
-// use; the zero Latency is ready.
+// Latency keeps the most recent latencies of a service. It is safe for concurrent
+// use. The zero value is ready to use.
 type Latency struct {
 	mu      sync.Mutex
 	samples [latencySamples]time.Duration
 	count   int
 }
 
-// Record takes in the latency of a call that was answered.
+// Record adds the latency of a successful call.
 func (la *Latency) Record(took time.Duration) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
@@ -33,8 +32,8 @@
 	la.count++
 }
 
-// Slow returns the latency above which a call counts as slow, or false as long
-// as too few calls are known.
+// Slow returns the latency above which a call counts as slow, the 95th percentile
+// of the samples. It returns false until enough calls are recorded.
 func (la *Latency) Slow() (time.Duration, bool) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
@@ -46,27 +45,31 @@
 	return sorted[slowRank], true
 }
 
-// Hedging says when a second try runs beside a slow one.
+// Hedging configures Hedge.
 type Hedging struct {
+	// Policy decides whether the retry budget of Service allows a second attempt.
 	Policy  *Policy
 	Clock   clockwork.Clock
 	Service string
-	// Idempotent must be true for a second try.
+	// Idempotent tells whether running the call twice has the same effect as running
+	// it once. Other calls are not hedged.
 	Idempotent bool
-	Latency    *Latency
+	// Latency is the latency of the service. Hedge records successful attempts in it.
+	Latency *Latency
 }
 
-// result is what one try of a hedged call brings.
+// result is the result of one attempt of a hedged call.
 type result[T any] struct {
 	value T
 	err   error
 }
 
-// Hedge runs a call and, if it is slow, idempotent and inside the budget, a
-// second one beside it. It returns the first success, or the last error. The
-// context of the other try is canceled.
+// Hedge runs a call. If the call is idempotent and slow, and the retry budget
+// allows it, a second attempt runs concurrently. Hedge returns the first success,
+// or the error of the last attempt to fail, and cancels the context of the other
+// attempt.
 func Hedge[T any](ctx context.Context, he Hedging, run func(ctx context.Context) (T, error)) (T, error) {
-	slow, known := he.Latency.Slow()
+	threshold, known := he.Latency.Slow()
 	if !he.Idempotent || !known {
 		return measure(ctx, he, run)
 	}
@@ -79,7 +82,7 @@
 	}
 	go start()
 	running := 1
-	timer := he.Clock.NewTimer(slow)
+	timer := he.Clock.NewTimer(threshold)
 	defer timer.Stop()
 	for {
 		select {
@@ -92,7 +95,7 @@
 			var none T
 			return none, ctx.Err()
 		case <-timer.Chan():
-			if he.Policy.hedge(he.Service) {
+			if he.Policy.allowHedge(he.Service) {
 				running++
 				go start()
 			}
@@ -100,6 +103,7 @@
 	}
 }
 
+// measure runs one attempt and records its latency if it succeeds.
 func measure[T any](ctx context.Context, he Hedging, run func(ctx context.Context) (T, error)) (T, error) {
 	begun := he.Clock.Now()
 	value, err := run(ctx)
@@ -109,8 +113,8 @@
 	return value, err
 }
 
-// hedge takes a second try from the service's budget.
-func (po *Policy) hedge(service string) bool {
+// allowHedge takes a token for a second attempt from the service's retry budget.
+func (po *Policy) allowHedge(service string) bool {
 	_, again := po.Again(Try{Service: service, Number: 1, Reason: Slow, Idempotent: true})
 	return again
 }
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -10,68 +10,73 @@
 	"filbertstall.example/filbertstall/internal/metric"
 )
 
-// Reason says how the try before failed.
+// Reason is the cause of a retry.
 type Reason string
 
 // The reasons of a retry.
 const (
-	// NotBegun means that the endpoint did not take the request.
+	// NotBegun means that the endpoint did not start the request.
 	NotBegun Reason = "not_begun"
-	// Lost means that the answer did not come whole; it may have run.
+	// Lost means that no complete response arrived. The request may have run.
 	Lost Reason = "lost"
-	// Failed means that the endpoint answered that it failed.
+	// Failed means that the endpoint returned an error response.
 	Failed Reason = "failed"
-	// Slow means that the answer takes longer than usual; a hedge.
+	// Slow means that the attempt takes longer than the 95th percentile. The retry is
+	// a hedged request.
 	Slow Reason = "slow"
 )
 
-// Denial says why a try is not made again.
+// Denial is the reason why an attempt is not retried.
 type Denial string
 
-// The denials.
+// The reasons of a denial.
 const (
-	// NotIdempotent calls are not repeated once they may have begun.
+	// NotIdempotent means that the call is not idempotent and may have begun to run.
 	NotIdempotent Denial = "not_idempotent"
-	// TriesSpent means that the request was tried MaxTries times.
-	TriesSpent Denial = "tries_spent"
-	// BudgetSpent means that the service's budget is empty.
-	BudgetSpent Denial = "budget_spent"
-	// TooLate means that the pause would end after the deadline.
-	TooLate Denial = "too_late"
+	// AttemptsExhausted means that MaxAttempts attempts were made.
+	AttemptsExhausted Denial = "tries_spent"
+	// BudgetExhausted means that the retry budget of the service is empty.
+	BudgetExhausted Denial = "budget_spent"
+	// PastDeadline means that the back-off would not end before the deadline.
+	PastDeadline Denial = "too_late"
 )
 
 var (
 	reasons = []Reason{NotBegun, Lost, Failed, Slow}
-	denials = []Denial{NotIdempotent, TriesSpent, BudgetSpent, TooLate}
+	denials = []Denial{NotIdempotent, AttemptsExhausted, BudgetExhausted, PastDeadline}
 )
 
 const (
-	// MaxTries bounds the endpoints that one request is tried on.
-	MaxTries = 3
-	// basePause is the upper bound of the first pause; it doubles.
-	basePause = 20 * time.Millisecond
-	// maxPause bounds any pause.
-	maxPause = time.Second
+	// MaxAttempts is the maximum number of attempts of one request, the first one
+	// included.
+	MaxAttempts = 3
+	// baseBackoff is the upper bound of the first back-off. The bound doubles with
+	// each attempt.
+	baseBackoff = 20 * time.Millisecond
+	// maxBackoff is the upper bound of every back-off.
+	maxBackoff = time.Second
 )
 
-// Try is a try that failed.
+// Try is a failed attempt, or a slow one that may be hedged.
 type Try struct {
+	// Service is the service whose retry budget pays for the retry.
 	Service string
-	// Number counts the tries of the request from 1.
+	// Number is the position of the attempt within its request, counted from 1.
 	Number int
 	Reason Reason
-	// Idempotent tells that running twice does the same as running once.
+	// Idempotent tells whether running the call twice has the same effect as running
+	// it once.
 	Idempotent bool
-	// Left is the time until the deadline; zero means no deadline.
+	// Left is the time until the deadline. Zero means no deadline.
 	Left time.Duration
 }
 
-// Policy decides on retries. Set the fields before the first call. It is safe
-// for concurrent use.
+// Policy decides on retries and holds the retry budget of each service. Set the
+// exported fields before the first call. It is safe for concurrent use.
 type Policy struct {
-	// Scope takes the counters; nil means none.
+	// Scope receives the counters of granted and denied retries. Nil disables them.
 	Scope tally.Scope
-	// Draw returns a number in [0, n); nil means math/rand/v2.
+	// Draw returns a random number in [0, n). Nil means rand.Int64N of math/rand/v2.
 	Draw func(n int64) int64
 
 	once    sync.Once
@@ -80,7 +85,7 @@
 	buckets sync.Map // service name to *bucket
 }
 
-func (po *Policy) prepare() {
+func (po *Policy) initialize() {
 	po.once.Do(func() {
 		if po.Scope == nil {
 			po.Scope = tally.NoopScope
@@ -101,27 +106,28 @@
 	return bu.(*bucket)
 }
 
-// Arrived counts a caller's request, which fills the service's budget.
+// Arrived adds the deposit of one caller's request to the service's retry budget.
 func (po *Policy) Arrived(service string) { po.bucket(service).deposit() }
 
-// Again returns whether a failed try is made again and the pause before it.
+// Again returns whether an attempt is retried, and the back-off before the retry.
+// A granted retry takes one token from the service's retry budget.
 func (po *Policy) Again(tr Try) (time.Duration, bool) {
-	po.prepare()
+	po.initialize()
 	if tr.Reason != NotBegun && !tr.Idempotent {
 		return po.deny(NotIdempotent)
 	}
-	if tr.Number >= MaxTries {
-		return po.deny(TriesSpent)
+	if tr.Number >= MaxAttempts {
+		return po.deny(AttemptsExhausted)
 	}
-	pause := po.pause(tr.Number)
-	if tr.Left > 0 && pause >= tr.Left {
-		return po.deny(TooLate)
+	backoff := po.backoff(tr.Number)
+	if tr.Left > 0 && backoff >= tr.Left {
+		return po.deny(PastDeadline)
 	}
 	if !po.bucket(tr.Service).withdraw() {
-		return po.deny(BudgetSpent)
+		return po.deny(BudgetExhausted)
 	}
 	po.granted[tr.Reason].Inc(1)
-	return pause, true
+	return backoff, true
 }
 
 func (po *Policy) deny(de Denial) (time.Duration, bool) {
@@ -129,8 +135,9 @@
 	return 0, false
 }
 
-// pause draws from zero to a bound that doubles with each try.
-func (po *Policy) pause(number int) time.Duration {
-	bound := min(basePause<<min(number-1, 10), maxPause)
+// backoff draws a back-off with full jitter: uniform between zero and a bound that
+// doubles with each attempt.
+func (po *Policy) backoff(attempt int) time.Duration {
+	bound := min(baseBackoff<<min(attempt-1, 10), maxBackoff)
 	return time.Duration(po.Draw(int64(bound)))
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -20,8 +20,8 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// Offered load stays within 1.1 times the callers' while any share of the
-// endpoints fails.
+// Guards against retry storms: the load offered to endpoints stays within 1.1
+// times the callers' load, whatever share of the endpoints fails.
 func TestNoRetryStorm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		po := &retry.Policy{}
@@ -31,19 +31,19 @@
 		offered := 0
 		for range calls {
 			po.Arrived("filbert-pool")
-			for try := 1; ; try++ {
+			for attempt := 1; ; attempt++ {
 				offered++
 				next = next*6364136223846793005 + 1442695040888963407
 				if int(next>>33)%12 >= failing {
 					break
 				}
-				if _, again := po.Again(retry.Try{Service: "filbert-pool", Number: try, Reason: retry.Lost, Idempotent: true}); !again {
+				if _, again := po.Again(retry.Try{Service: "filbert-pool", Number: attempt, Reason: retry.Lost, Idempotent: true}); !again {
 					break
 				}
 			}
 		}
 		if 10*offered > 11*calls {
-			t.Fatalf("%d tries for %d calls", offered, calls)
+			t.Fatalf("%d attempts for %d calls exceed 1.1 times the callers' load", offered, calls)
 		}
 	})
 }
@@ -57,12 +57,12 @@
 		_, again := po.Again(tr)
 		return again
 	}
-	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.Lost})).To(BeFalse(), "a booking that may have run is not sent again")
+	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.Lost})).To(BeFalse(), "a call that is not idempotent and may have run must not be retried")
 	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.Slow})).To(BeFalse())
 	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.Failed})).To(BeFalse())
 	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.NotBegun})).To(BeTrue())
 	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.Lost, Idempotent: true, Left: time.Millisecond})).To(BeFalse())
-	gm.Expect(ask(retry.Try{Number: retry.MaxTries, Reason: retry.NotBegun})).To(BeFalse())
+	gm.Expect(ask(retry.Try{Number: retry.MaxAttempts, Reason: retry.NotBegun})).To(BeFalse())
 	counters := scope.Snapshot().Counters()
 	gm.Expect(counters["retries+reason=not_begun"].Value()).To(Equal(int64(1)))
 	gm.Expect(counters["retries_denied+reason=not_idempotent"].Value()).To(Equal(int64(3)))
@@ -104,5 +104,5 @@
 		return 0, ctx.Err()
 	})
 	gm.Expect(err).To(HaveOccurred())
-	gm.Expect(runs.Load()).To(Equal(int64(2)), "a call that is not idempotent runs once")
+	gm.Expect(runs.Load()).To(Equal(int64(2)), "a call that is not idempotent must not be hedged")
 }
