--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,13 +1,13 @@
-// Package budget bounds how often requests are sent to endpoints again. All
-// instances share one bound for each service: a share of the requests of a
-// sliding window, and some more. Each instance keeps to its part of it without
-// asking the others.
+// Package budget limits how many retries are sent to endpoints. Each service has
+// one retry budget that all instances share: a ratio of its requests in a sliding
+// window, plus a constant. Each instance enforces its own part of the budget
+// without coordination.
 //
 // # Usage
 //
 //	bu := &budget.Window{Clock: clock, Span: 10 * time.Second, Ratio: 0.2, Extra: part}
 //	bu.Arrived("rental-desk")
-//	if bu.Take("rental-desk") { ... send again ... }
+//	if bu.Take("rental-desk") { ... retry ... }
 package budget
 
 import (
@@ -17,75 +17,79 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Window is the budget of one instance. Set the exported fields before use. It
-// is safe for concurrent use.
+// Window enforces the part of one instance in the retry budgets of all services.
+// Set the exported fields before use. It is safe for concurrent use.
 type Window struct {
 	Clock clockwork.Clock
-	// Span is the length of the window.
+	// Span is the length of the sliding window.
 	Span time.Duration
-	// Ratio is how many repeats each request allows.
+	// Ratio is the number of retries that each request in the window allows.
 	Ratio float64
-	// Extra returns how many repeats a window allows beside: the instance's part
-	// of what all may make, which changes with their number.
+	// Extra returns the number of retries that a window allows independently of its
+	// requests. It is the instance's part of a constant for all instances, so it
+	// changes with their number.
 	Extra func() float64
 
-	mu       sync.Mutex
-	services map[string]*ledger
+	mu        sync.Mutex
+	histories map[string]*history
 }
 
-// ledger has the times of the last requests and repeats of a service.
-type ledger struct {
+// history has the times of the requests and retries of a service within the
+// window, oldest first.
+type history struct {
 	requests []time.Time
-	repeats  []time.Time
+	retries  []time.Time
 }
 
 // Arrived counts a request for a service.
 func (wi *Window) Arrived(service string) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	le := wi.ledger(service)
-	le.requests = append(le.requests, wi.Clock.Now())
+	hi := wi.history(service)
+	hi.requests = append(hi.requests, wi.Clock.Now())
 }
 
-// Take counts a repeat if the budget allows it.
+// Take counts a retry and returns true if the budget allows one.
 func (wi *Window) Take(service string) bool {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	le := wi.ledger(service)
-	if float64(len(le.repeats)+1) > wi.Ratio*float64(len(le.requests))+wi.Extra() {
+	hi := wi.history(service)
+	if float64(len(hi.retries)+1) > wi.Ratio*float64(len(hi.requests))+wi.Extra() {
 		return false
 	}
-	le.repeats = append(le.repeats, wi.Clock.Now())
+	hi.retries = append(hi.retries, wi.Clock.Now())
 	return true
 }
 
-// Force counts a repeat that is made whatever the budget says.
+// Force counts a retry that is made even if the budget is exhausted.
 func (wi *Window) Force(service string) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	le := wi.ledger(service)
-	le.repeats = append(le.repeats, wi.Clock.Now())
+	hi := wi.history(service)
+	hi.retries = append(hi.retries, wi.Clock.Now())
 }
 
-func (wi *Window) ledger(service string) *ledger {
-	if wi.services == nil {
-		wi.services = make(map[string]*ledger)
+// history returns the history of a service after removing the times that are older
+// than the window; mu is held.
+func (wi *Window) history(service string) *history {
+	if wi.histories == nil {
+		wi.histories = make(map[string]*history)
 	}
-	le := wi.services[service]
-	if le == nil {
-		le = &ledger{}
-		wi.services[service] = le
+	hi := wi.histories[service]
+	if hi == nil {
+		hi = &history{}
+		wi.histories[service] = hi
 	}
-	before := wi.Clock.Now().Add(-wi.Span)
-	le.requests = since(le.requests, before)
-	le.repeats = since(le.repeats, before)
-	return le
+	cutoff := wi.Clock.Now().Add(-wi.Span)
+	hi.requests = dropUntil(hi.requests, cutoff)
+	hi.retries = dropUntil(hi.retries, cutoff)
+	return hi
 }
 
-// since drops the times at the front that are not after before.
-func since(list []time.Time, before time.Time) []time.Time {
+// dropUntil removes the leading times up to and including cutoff.
+func dropUntil(list []time.Time, cutoff time.Time) []time.Time {
 	first := 0
-	for first < len(list) && !list[first].After(before) {
+	for first < len(list) && !list[first].After(cutoff) {
 		first++
 	}
 	return list[first:]
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -23,9 +23,9 @@
 	g.Expect(wi.Take("b")).To(BeTrue())
 }
 
-// Pattern: many clients repeat at once and often. In each span of the window's
-// length there are no more repeats than the ratio of the requests of that span
-// and the extra ones.
+// Guards against retry storms when many clients retry at once. In every interval
+// of the window's length, the retries are at most the ratio times the requests of
+// that interval, plus the extra ones.
 func TestNoSpanHasTooManyRepeats(t *testing.T) {
 	const (
 		span  = 10 * time.Second
@@ -35,7 +35,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		wi := &Window{Clock: clock, Span: span, Ratio: ratio, Extra: func() float64 { return extra }}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(50, 400).Draw(rt, "steps") {
 			clock.Advance(time.Duration(rapid.IntRange(0, 300).Draw(rt, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(rt, "request") {
@@ -43,19 +43,19 @@
 				requests = append(requests, clock.Now())
 			}
 			if wi.Take("s") {
-				repeats = append(repeats, clock.Now())
+				retries = append(retries, clock.Now())
 			}
 		}
-		for _, end := range repeats {
-			allowed := ratio*float64(within(requests, end, span)) + extra
-			if got := within(repeats, end, span); float64(got) > allowed {
-				rt.Fatalf("%d repeats in the span to %v, allowed are %v", got, end, allowed)
+		for _, end := range retries {
+			allowed := ratio*float64(countWithin(requests, end, span)) + extra
+			if got := countWithin(retries, end, span); float64(got) > allowed {
+				rt.Fatalf("%d retries in the window that ends at %v, want at most %v", got, end, allowed)
 			}
 		}
 	})
 }
 
-func within(list []time.Time, end time.Time, span time.Duration) int {
+func countWithin(list []time.Time, end time.Time, span time.Duration) int {
 	count := 0
 	for _, at := range list {
 		if at.After(end.Add(-span)) && !at.After(end) {
@@ -65,12 +65,13 @@
 	return count
 }
 
-// The parts of all instances add up to the shared budget, also when more join.
+// Extra is read on every call, so that the parts of all instances still add up to
+// the shared budget after another instance joins.
 func TestPartShrinksAsInstancesJoin(t *testing.T) {
 	g := NewWithT(t)
-	part := 2.0
-	wi := &Window{Clock: clockwork.NewFakeClock(), Span: 10 * time.Second, Extra: func() float64 { return part }}
+	extra := 2.0
+	wi := &Window{Clock: clockwork.NewFakeClock(), Span: 10 * time.Second, Extra: func() float64 { return extra }}
 	g.Expect(wi.Take("s")).To(BeTrue())
-	part = 1
+	extra = 1
 	g.Expect(wi.Take("s")).To(BeFalse())
 }
