--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,7 +1,7 @@
-// Package budget limits how many retries are sent to endpoints. Each service has
-// one retry budget that all instances share: a ratio of its requests in a sliding
-// window, plus a constant. Each instance enforces its own part of the budget
-// without coordination.
+// Package budget limits how many retries are sent to endpoints. Each service
+// has one retry budget that all instances share: a ratio of its requests in a
+// sliding window, plus a constant. Each instance enforces its own part of the
+// budget without coordination.
 //
 // # Usage
 //
@@ -17,17 +17,17 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Window enforces the part of one instance in the retry budgets of all services.
-// Set the exported fields before use. It is safe for concurrent use.
+// Window enforces the part of one instance in the retry budgets of all
+// services. Set the exported fields before use. It is safe for concurrent use.
 type Window struct {
 	Clock clockwork.Clock
 	// Span is the length of the sliding window.
 	Span time.Duration
 	// Ratio is the number of retries that each request in the window allows.
 	Ratio float64
-	// Extra returns the number of retries that a window allows independently of its
-	// requests. It is the instance's part of a constant for all instances, so it
-	// changes with their number.
+	// Extra returns the number of retries that a window allows independently of
+	// its requests. It is the instance's part of a constant for all instances, so
+	// it changes with their number.
 	Extra func() float64
 
 	mu        sync.Mutex
@@ -69,8 +69,8 @@
 	hi.retries = append(hi.retries, wi.Clock.Now())
 }
 
-// history returns the history of a service after removing the times that are older
-// than the window; mu is held.
+// history returns the history of a service after removing the times that are
+// older than the window. The caller must hold mu.
 func (wi *Window) history(service string) *history {
 	if wi.histories == nil {
 		wi.histories = make(map[string]*history)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -23,9 +23,9 @@
 	g.Expect(wi.Take("b")).To(BeTrue())
 }
 
-// Guards against retry storms when many clients retry at once. In every interval
-// of the window's length, the retries are at most the ratio times the requests of
-// that interval, plus the extra ones.
+// Guards against retry storms when many clients retry at once. In every
+// interval of the window's length, the retries are at most the ratio times the
+// requests of that interval, plus the extra ones.
 func TestNoSpanHasTooManyRepeats(t *testing.T) {
 	const (
 		span  = 10 * time.Second
@@ -65,8 +65,8 @@
 	return count
 }
 
-// Extra is read on every call, so that the parts of all instances still add up to
-// the shared budget after another instance joins.
+// Extra is read on every call, so that the parts of all instances still add up
+// to the shared budget after another instance joins.
 func TestPartShrinksAsInstancesJoin(t *testing.T) {
 	g := NewWithT(t)
 	extra := 2.0
--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -43,8 +43,8 @@
 	Zone     string
 	Board    *placement.Board
 	Members  *Members
-	// Turns receives the pending moves that other instances announce. Its Instance
-	// must be set.
+	// Turns supplies the pending moves of this instance and receives those of the
+	// others. Its Instance must be set.
 	Turns *Turns
 	Clock clockwork.Clock
 	Log   zerolog.Logger
@@ -55,6 +55,7 @@
 
 // sender is the state of another instance as of its newest message.
 type sender struct {
+	// startedAt is Started of the message, in Unix milliseconds.
 	startedAt  uint64
 	sequence   uint64
 	receivedAt time.Time
@@ -87,8 +88,8 @@
 		case <-ex.Board.Changes:
 		}
 		sameZone, otherZones := ex.Members.recipients(ex.Instance, ex.Zone)
-		moves, pending := ex.Turns.announced()
-		if now := ex.Clock.Now(); pending || now.Sub(lastRemoteSend) >= remoteSendInterval(len(otherZones)) {
+		moves, unsent := ex.Turns.announced()
+		if now := ex.Clock.Now(); unsent || now.Sub(lastRemoteSend) >= remoteSendInterval(len(otherZones)) {
 			lastRemoteSend = now
 			sameZone = append(sameZone, otherZones...)
 		}
@@ -130,8 +131,8 @@
 	}
 }
 
-// apply applies one message, unless it is not newer than the last one of its
-// sender.
+// apply processes one received datagram. It ignores messages of this instance
+// itself, and messages that are not newer than the last one of their sender.
 func (ex *Exchange) apply(data []byte) {
 	me, err := decode(data)
 	if err != nil {
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -76,8 +76,9 @@
 
 var engine = &routing.Engine{Slots: 24, MemoryTokens: 30_000}
 
-// Datagrams can be lost, duplicated and reordered. Guards against a message that
-// is not newer than the last one of its sender replacing that sender's loads.
+// Datagrams can be lost, duplicated and reordered. Guards against a message
+// that is not newer than the last one of its sender replacing that sender's
+// loads.
 func TestMessagesOutOfOrder(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
@@ -124,11 +125,11 @@
 	tu.apply(second, map[string]int{"e": 2})
 	g.Expect(tu.Ahead("e")).To(BeZero(), "instances later in the order do not count")
 	tu.Announce("e", 3)
-	moves, pending := tu.announced()
+	moves, unsent := tu.announced()
 	g.Expect(moves).To(Equal(map[string]int{"e": 3}))
-	g.Expect(pending).To(BeTrue())
-	_, pending = tu.announced()
-	g.Expect(pending).To(BeFalse())
+	g.Expect(unsent).To(BeTrue())
+	_, unsent = tu.announced()
+	g.Expect(unsent).To(BeFalse())
 }
 
 func TestFarZonesAreToldSeldom(t *testing.T) {
--- a/internal/loadshare/member.go
+++ b/internal/loadshare/member.go
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// recipients returns the addresses of all other instances, split by whether they
-// are in the given zone.
+// recipients returns the addresses of all other instances, split by whether
+// they are in the given zone.
 func (ms *Members) recipients(name, zone string) (sameZone, otherZones []netip.AddrPort) {
 	for _, me := range ms.List() {
 		switch {
--- a/internal/loadshare/turn.go
+++ b/internal/loadshare/turn.go
@@ -8,9 +8,10 @@
 )
 
 // Turns orders the moves by which several instances migrate runs off the same
-// engine. Each engine has its own order of the instances, and each instance
-// announces how many runs it has still to move. It implements migration.Turns. Set
-// the exported fields before use. It is safe for concurrent use.
+// engine, so that their copies do not queue on its link. Each engine has its
+// own order of the instances, and each instance announces how many runs it has
+// still to move. It implements migration.Turns. Set the exported fields before
+// use. It is safe for concurrent use.
 type Turns struct {
 	Instance string
 	// Changes receives a value when the announcements of this instance change. The
@@ -18,11 +19,11 @@
 	Changes chan<- struct{}
 
 	mu sync.Mutex
-	// pending is true if an announcement has changed since the last call of
+	// unsent is true if an announcement has changed since the last call of
 	// announced.
-	pending bool
-	own     map[string]int            // by engine
-	others  map[string]map[string]int // by engine and instance
+	unsent bool
+	own    map[string]int            // by engine
+	others map[string]map[string]int // by engine and instance
 }
 
 // Announce implements migration.Turns.
@@ -36,7 +37,7 @@
 		tu.own = make(map[string]int)
 	}
 	tu.own[endpoint] = runs
-	tu.pending = true
+	tu.unsent = true
 	if runs == 0 {
 		delete(tu.own, endpoint)
 	}
@@ -66,11 +67,11 @@
 
 // announced returns the pending moves of this instance, by engine, and whether
 // they have changed since the last call.
-func (tu *Turns) announced() (moves map[string]int, pending bool) {
+func (tu *Turns) announced() (moves map[string]int, unsent bool) {
 	tu.mu.Lock()
 	defer tu.mu.Unlock()
-	pending, tu.pending = tu.pending, false
-	return maps.Clone(tu.own), pending
+	unsent, tu.unsent = tu.unsent, false
+	return maps.Clone(tu.own), unsent
 }
 
 // apply replaces the announcements of another instance. Nil moves remove them.
--- a/internal/placement/account.go
+++ b/internal/placement/account.go
@@ -13,7 +13,7 @@
 	Failed
 	// Refused means that the endpoint rejected the request without running it.
 	Refused
-	// Lost means that the connection broke before a complete response arrived.
+	// Lost means that no complete response arrived. The request may have run.
 	Lost
 	// Unreachable means that no connection could be established.
 	Unreachable
@@ -38,7 +38,8 @@
 	// backoffUntil is the end of the back-off after a failed connection attempt.
 	// Until then the endpoint is not chosen.
 	backoffUntil time.Time
-	// backoffs counts connection attempts that failed in a row.
+	// backoffs counts the failed connection attempts since the last Done, Failed
+	// or Refused.
 	backoffs int
 	// arrivals has the start times of recent requests, oldest first. It limits
 	// the request rate of endpoints in cold start.
@@ -46,6 +47,7 @@
 }
 
 const (
+	// failureHalfLife is the half-life of the failure score of an endpoint.
 	failureHalfLife = 2 * time.Second
 	// The back-off for unreachable endpoints doubles from initialBackoff up to
 	// maxBackoff.
@@ -67,8 +69,8 @@
 	}
 }
 
-// recordOutcome updates the failure score and the back-off. A lost connection
-// leaves the back-off unchanged.
+// recordOutcome updates the failure score and the back-off. Lost leaves the
+// back-off unchanged.
 func (ac *account) recordOutcome(ou Outcome, now time.Time) {
 	ac.failures = ac.failureScore(now) + ou.weight()
 	ac.failuresAt = now
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -25,8 +25,9 @@
 	// sends to an endpoint in cold start. Zero means no limit.
 	ColdRate float64
 	// Zone is the availability zone that holds the KV cache of the generation when
-	// it migrates. Copies within that zone cost half as much as copies to another.
-	// Empty means a new request, which starts from the zone of the instance.
+	// it migrates. A copy within that zone takes half as long as a copy to
+	// another. Empty means that no KV cache is copied and the zone of the instance
+	// counts.
 	Zone string
 }
 
@@ -68,8 +69,8 @@
 // milliseconds, plus penalties for risks on the same scale.
 const (
 	// prefillTokensPerMillisecond is the prefill throughput of an engine that also
-	// runs generations: a step takes 7 ms or more and prefills one chunk of 112
-	// tokens.
+	// runs generations: each step prefills one chunk of 112 tokens and takes at
+	// least 7 ms.
 	prefillTokensPerMillisecond = 7.0
 	// generationCost is the delay that each running generation adds to a new one.
 	generationCost = 12.0
@@ -94,8 +95,8 @@
 	exhaustedCost = 2000.0
 	// coldCost applies to an endpoint in cold start: its first second is slow.
 	coldCost = 60.0
-	// tieBreakCost is the largest per-instance offset, which spreads instances over
-	// endpoints of equal cost.
+	// tieBreakCost is the largest per-instance offset, which spreads instances
+	// over endpoints of equal cost.
 	tieBreakCost = 4.0
 	// plannableMemoryShare is the share of an engine's memory that generations may
 	// reserve. The rest is left for prompt prefixes that requests share.
@@ -134,7 +135,8 @@
 	Load Load
 }
 
-// load returns the load of an endpoint over all instances; mu is held.
+// load returns the load of an endpoint over all instances. The caller must hold
+// mu.
 func (bo *Board) load(id string) Load {
 	lo := bo.remoteTotals[id]
 	if ac := bo.accounts[id]; ac != nil {
@@ -145,10 +147,10 @@
 	return lo
 }
 
-// cost returns the cost of running a request at an endpoint, in milliseconds. It
-// returns false if the endpoint is not usable now: it is in back-off after a
+// cost returns the cost of running a request at an endpoint, in milliseconds.
+// It returns false if the endpoint is not usable now: it is in back-off after a
 // failed connection attempt, or it is in cold start and its rate limit is
-// reached. mu is held.
+// reached. The caller must hold mu.
 func (bo *Board) cost(en roster.Endpoint, wo Work, now time.Time) (float64, bool) {
 	ac := bo.accounts[en.ID]
 	if ac == nil {
@@ -204,8 +206,8 @@
 	return cost
 }
 
-// tieBreak returns a stable pseudo-random number in [0, 1) for an instance and an
-// endpoint.
+// tieBreak returns a stable pseudo-random number in [0, 1) for an instance and
+// an endpoint.
 func tieBreak(instance, endpoint string) float64 {
 	const steps = 1 << 16
 	return float64(xxhash.Sum64String(instance+"/"+endpoint)%steps) / steps
@@ -268,8 +270,8 @@
 	}
 }
 
-// Forget removes the accounts of endpoints for which known returns false, unless
-// requests or standby copies are still accounted to them.
+// Forget removes the accounts of endpoints for which known returns false,
+// unless requests or standby copies are still accounted to them.
 func (bo *Board) Forget(known func(id string) bool) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
@@ -280,14 +282,16 @@
 	}
 }
 
-// RecordOutcome updates the failure score of an endpoint for an attempt that has
-// no ticket.
+// RecordOutcome updates the failure score of an endpoint for an attempt that
+// has no ticket.
 func (bo *Board) RecordOutcome(id string, ou Outcome) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	bo.account(id).recordOutcome(ou, bo.Clock.Now())
 }
 
+// account returns the account of an endpoint and creates it if necessary. The
+// caller must hold mu.
 func (bo *Board) account(id string) *account {
 	if bo.accounts == nil {
 		bo.accounts = make(map[string]*account)
--- a/internal/placement/board_test.go
+++ b/internal/placement/board_test.go
@@ -58,8 +58,8 @@
 	g.Expect(ch.Endpoint.ID).To(Equal("e1"))
 }
 
-// Several instances send to the same engines: the loads that others report count
-// like the own loads until the next report replaces them.
+// Several instances send to the same engines: the loads that others report
+// count like those of the instance itself until the next report replaces them.
 func TestLoadsOfOthersCount(t *testing.T) {
 	g := NewWithT(t)
 	bo := newBoard(clockwork.NewFakeClock())
@@ -75,9 +75,9 @@
 	g.Expect(bo.remoteTotals).To(BeEmpty())
 }
 
-// A network partition interrupts streams from another zone. Long streams are kept
-// in the instance's zone where possible, and short ones go where they start
-// sooner.
+// A network partition interrupts streams from another zone. Long streams are
+// kept in the instance's zone where possible, and short ones go where they
+// start sooner.
 func TestLongStreamsStayInTheZone(t *testing.T) {
 	g := NewWithT(t)
 	bo := newBoard(clockwork.NewFakeClock())
@@ -89,8 +89,8 @@
 	g.Expect(short.Endpoint.Zone).To(Equal("b"))
 }
 
-// Replicas may fail part of their requests while their health check passes: each
-// failure raises the cost of the replica and decays.
+// Replicas may fail part of their requests while their health check passes:
+// each failure raises the cost of the replica and decays.
 func TestFailuresCostAndFade(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
@@ -125,8 +125,8 @@
 	}
 }
 
-// Guards against overload of replicas that return in cold start: in no interval of
-// one second does such an endpoint get more requests than ColdRate allows.
+// Guards against overload of replicas that return in cold start: in no interval
+// of one second does such an endpoint get more requests than ColdRate allows.
 func TestColdEndpointsGetTheirShare(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,13 +1,14 @@
-// Package placement chooses the endpoint for a request by the estimated load and
-// the recent failures of each endpoint.
+// Package placement chooses the endpoint for a request by the estimated load
+// and the recent failures of each endpoint.
 //
-// It holds in-memory state only and does no network I/O. A Board keeps an account
-// for each endpoint: prompt tokens still to be prefilled, generations in flight,
-// the KV-cache memory that they reserve, and recent failures. Several instances
-// send to the same engines, so they exchange their loads (internal/loadshare),
-// and SetRemoteLoads adds the loads of the others. Failed connection attempts in
-// another zone raise the cost of that whole zone for a few seconds (zonepath.go).
-// Standby copies are placed on engines with free memory (standby.go).
+// It holds in-memory state only and does no network I/O. A Board keeps an
+// account for each endpoint: prompt tokens still to be prefilled, generations
+// in flight, the KV-cache memory that they reserve, and recent failures.
+// Several instances send to the same engines, so they exchange their loads
+// (internal/loadshare), and SetRemoteLoads adds the loads of the others. Failed
+// connection attempts in another zone raise the cost of that whole zone for a
+// few seconds (zonepath.go). Standby copies are placed on engines with free
+// memory (standby.go).
 //
 // # Usage
 //
--- a/internal/placement/standby.go
+++ b/internal/placement/standby.go
@@ -18,15 +18,16 @@
 	// fillCost applies to an engine whose memory is fully reserved, and
 	// proportionally to one with less reserved.
 	fillCost = 1000.0
-	// standbyZoneCost applies to a copy outside the instance's zone: it takes twice
-	// as long and is unreachable while the zones are partitioned.
+	// standbyZoneCost applies to a copy outside the instance's zone: it takes
+	// twice as long and is unreachable while the zones are partitioned.
 	standbyZoneCost = 400.0
 )
 
 // ChooseStandby returns the engine that should hold the standby copy of a
-// generation that runs on the engine with the ID primary. It returns false if no
-// engine has enough free memory. Engines in the instance's own zone are preferred,
-// so that the copy stays reachable when the zone of the primary is partitioned.
+// generation that runs on the engine with the ID primary. It returns false if
+// no engine has enough free memory. Engines in the instance's own zone are
+// preferred, so that the copy stays reachable when the zone of the primary is
+// partitioned.
 func (bo *Board) ChooseStandby(list []roster.Endpoint, wo Work, primary string) (roster.Endpoint, bool) {
 	now := bo.Clock.Now()
 	bo.mu.Lock()
@@ -58,7 +59,8 @@
 	return list[best], true
 }
 
-// fill returns the mean share of reserved memory over the engines; mu is held.
+// fill returns the mean share of reserved memory over the engines. The caller
+// must hold mu.
 func (bo *Board) fill(list []roster.Endpoint, wo Work) float64 {
 	held := 0
 	for _, en := range list {
@@ -67,8 +69,8 @@
 	return float64(held) / float64(max(len(list), 1)*wo.Engine.MemoryTokens)
 }
 
-// Reserve accounts for the memory of a standby copy at an engine until the ticket
-// ends. The ticket does not count as an in-flight request.
+// Reserve accounts for the memory of a standby copy at an engine until the
+// ticket ends. The ticket does not count as an in-flight request.
 func (bo *Board) Reserve(en roster.Endpoint, wo Work) *Ticket {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
--- a/internal/placement/ticket.go
+++ b/internal/placement/ticket.go
@@ -2,8 +2,8 @@
 
 import "filbertstall.example/filbertstall/internal/roster"
 
-// Ticket accounts for one in-flight request, or one standby copy, at an endpoint.
-// It is safe for concurrent use.
+// Ticket accounts for one in-flight request, or one standby copy, at an
+// endpoint. It is safe for concurrent use.
 type Ticket struct {
 	board          *Board
 	id             string
@@ -49,8 +49,8 @@
 	}
 }
 
-// End removes the request from the account and records its outcome. Further calls
-// have no effect.
+// End removes the request from the account and records its outcome. Further
+// calls have no effect.
 func (ti *Ticket) End(ou Outcome) {
 	ti.board.mu.Lock()
 	defer ti.board.mu.Unlock()
--- a/internal/placement/zonepath.go
+++ b/internal/placement/zonepath.go
@@ -5,7 +5,7 @@
 const (
 	// zonePathCost applies to all endpoints of another zone for each connection
 	// attempt that failed there recently, up to maxZonePathFailures. At that
-	// maximum even exhausted engines of the own zone are preferred.
+	// maximum even exhausted engines in the instance's zone are preferred.
 	zonePathCost        = 700.0
 	maxZonePathFailures = 3.0
 	// zonePathHalfLife is short so that traffic returns within seconds after the
@@ -15,8 +15,8 @@
 
 // zonePath tracks the reachability of another zone from this instance. A failed
 // connection attempt costs the caller its full duration. During a network
-// partition the other endpoints of that zone are unreachable too, so the failure
-// counts against the whole zone.
+// partition the other endpoints of that zone are unreachable too, so the
+// failure counts against the whole zone.
 type zonePath struct {
 	// failures is the number of failed connection attempts as of at. It decays
 	// with zonePathHalfLife.
@@ -24,8 +24,8 @@
 	at       time.Time
 }
 
-// failureScore returns the number of failed connection attempts, decayed to now.
-// It is zero for a nil receiver.
+// failureScore returns the number of failed connection attempts, decayed to
+// now. It is zero for a nil receiver.
 func (zp *zonePath) failureScore(now time.Time) float64 {
 	if zp == nil || zp.failures == 0 {
 		return 0
@@ -33,8 +33,8 @@
 	return zp.failures * decay(now.Sub(zp.at), zonePathHalfLife)
 }
 
-// recordOutcome updates the failures. Any response shows that the path works and
-// resets them. A lost connection leaves them unchanged.
+// recordOutcome updates the failures. Done, Failed and Refused show that the
+// path works and reset them. Lost leaves them unchanged.
 func (zp *zonePath) recordOutcome(ou Outcome, now time.Time) {
 	switch ou {
 	case Unreachable:
@@ -46,7 +46,7 @@
 }
 
 // recordZoneOutcome updates the path to a zone after an attempt there. Attempts
-// within the instance's own zone are ignored. mu is held.
+// within the instance's own zone are ignored. The caller must hold mu.
 func (bo *Board) recordZoneOutcome(zone string, ou Outcome) {
 	if zone == bo.Zone {
 		return
--- a/internal/placement/zonepath_test.go
+++ b/internal/placement/zonepath_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// During a network partition each attempt to another zone costs a caller its full
-// duration. After the first connection attempts to a zone have failed, busy
-// endpoints of the own zone are preferred to the remaining ones there. Once the
-// path has recovered, these are used again.
+// During a network partition each attempt to another zone costs a caller its
+// full duration. After the first connection attempts to a zone have failed,
+// busy endpoints of the own zone are preferred to the remaining ones there.
+// Once the path has recovered, these are used again.
 func TestZonesBehindACut(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -16,8 +16,8 @@
 	slowRank = latencySamples * 95 / 100
 )
 
-// Latency keeps the most recent latencies of a service. It is safe for concurrent
-// use. The zero value is ready to use.
+// Latency keeps the most recent latencies of a service. It is safe for
+// concurrent use. The zero value is ready to use.
 type Latency struct {
 	mu      sync.Mutex
 	samples [latencySamples]time.Duration
@@ -32,8 +32,8 @@
 	la.count++
 }
 
-// Slow returns the latency above which a call counts as slow, the 95th percentile
-// of the samples. It returns false until enough calls are recorded.
+// Slow returns the latency above which a call counts as slow, the 95th
+// percentile of the samples. It returns false until enough calls are recorded.
 func (la *Latency) Slow() (time.Duration, bool) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
@@ -51,10 +51,11 @@
 	Policy  *Policy
 	Clock   clockwork.Clock
 	Service string
-	// Idempotent tells whether running the call twice has the same effect as running
-	// it once. Other calls are not hedged.
+	// Idempotent tells whether running the call twice has the same effect as
+	// running it once. Other calls are not hedged.
 	Idempotent bool
-	// Latency is the latency of the service. Hedge records successful attempts in it.
+	// Latency is the latency of the service. Hedge records successful attempts in
+	// it.
 	Latency *Latency
 }
 
@@ -65,9 +66,9 @@
 }
 
 // Hedge runs a call. If the call is idempotent and slow, and the retry budget
-// allows it, a second attempt runs concurrently. Hedge returns the first success,
-// or the error of the last attempt to fail, and cancels the context of the other
-// attempt.
+// allows it, a second attempt runs concurrently. Hedge returns the first
+// success, or the error of the last attempt to fail, and cancels the context of
+// the other attempt.
 func Hedge[T any](ctx context.Context, he Hedging, run func(ctx context.Context) (T, error)) (T, error) {
 	threshold, known := he.Latency.Slow()
 	if !he.Idempotent || !known {
@@ -113,7 +114,8 @@
 	return value, err
 }
 
-// allowHedge takes a token for a second attempt from the service's retry budget.
+// allowHedge takes a token for a second attempt from the service's retry
+// budget.
 func (po *Policy) allowHedge(service string) bool {
 	_, again := po.Again(Try{Service: service, Number: 1, Reason: Slow, Idempotent: true})
 	return again
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -21,8 +21,8 @@
 	Lost Reason = "lost"
 	// Failed means that the endpoint returned an error response.
 	Failed Reason = "failed"
-	// Slow means that the attempt takes longer than the 95th percentile. The retry is
-	// a hedged request.
+	// Slow means that the attempt takes longer than the 95th percentile. The retry
+	// is a hedged request.
 	Slow Reason = "slow"
 )
 
@@ -31,7 +31,8 @@
 
 // The reasons of a denial.
 const (
-	// NotIdempotent means that the call is not idempotent and may have begun to run.
+	// NotIdempotent means that the call is not idempotent and may have begun to
+	// run.
 	NotIdempotent Denial = "not_idempotent"
 	// AttemptsExhausted means that MaxAttempts attempts were made.
 	AttemptsExhausted Denial = "tries_spent"
@@ -64,8 +65,8 @@
 	// Number is the position of the attempt within its request, counted from 1.
 	Number int
 	Reason Reason
-	// Idempotent tells whether running the call twice has the same effect as running
-	// it once.
+	// Idempotent tells whether running the call twice has the same effect as
+	// running it once.
 	Idempotent bool
 	// Left is the time until the deadline. Zero means no deadline.
 	Left time.Duration
@@ -74,9 +75,11 @@
 // Policy decides on retries and holds the retry budget of each service. Set the
 // exported fields before the first call. It is safe for concurrent use.
 type Policy struct {
-	// Scope receives the counters of granted and denied retries. Nil disables them.
+	// Scope receives the counters of granted and denied retries. Nil disables
+	// them.
 	Scope tally.Scope
-	// Draw returns a random number in [0, n). Nil means rand.Int64N of math/rand/v2.
+	// Draw returns a random number in [0, n). Nil means rand.Int64N of
+	// math/rand/v2.
 	Draw func(n int64) int64
 
 	once    sync.Once
@@ -106,11 +109,12 @@
 	return bu.(*bucket)
 }
 
-// Arrived adds the deposit of one caller's request to the service's retry budget.
+// Arrived adds the deposit of one caller's request to the service's retry
+// budget.
 func (po *Policy) Arrived(service string) { po.bucket(service).deposit() }
 
-// Again returns whether an attempt is retried, and the back-off before the retry.
-// A granted retry takes one token from the service's retry budget.
+// Again returns whether an attempt is retried, and the back-off before the
+// retry. A granted retry takes one token from the service's retry budget.
 func (po *Policy) Again(tr Try) (time.Duration, bool) {
 	po.initialize()
 	if tr.Reason != NotBegun && !tr.Idempotent {
@@ -135,8 +139,8 @@
 	return 0, false
 }
 
-// backoff draws a back-off with full jitter: uniform between zero and a bound that
-// doubles with each attempt.
+// backoff draws a back-off with full jitter: uniform between zero and a bound
+// that doubles with each attempt.
 func (po *Policy) backoff(attempt int) time.Duration {
 	bound := min(baseBackoff<<min(attempt-1, 10), maxBackoff)
 	return time.Duration(po.Draw(int64(bound)))
--- a/internal/suspicion/registry.go
+++ b/internal/suspicion/registry.go
@@ -19,7 +19,8 @@
 	refuseAfterLosses = 2
 	// retention is how long a record counts after its newest loss or clearing.
 	retention = time.Hour
-	// maxFingerprints is the maximum number of records. The oldest is evicted first.
+	// maxFingerprints is the maximum number of records. The oldest is evicted
+	// first.
 	maxFingerprints = 4096
 	// shareTimeout bounds the wait for peers before a suspect is retried.
 	shareTimeout = 300 * time.Millisecond
@@ -57,8 +58,8 @@
 	Cleared []Loss
 }
 
-// Registry holds the records known to one instance. Set the exported fields before
-// the first call. It is safe for concurrent use.
+// Registry holds the records known to one instance. Set the exported fields
+// before the first call. It is safe for concurrent use.
 type Registry struct {
 	Caller peer.Caller
 	// Peers returns the peer addresses of the other instances.
@@ -104,16 +105,16 @@
 	}
 }
 
-// Lost records that an endpoint crashed while it ran the request. It returns when
-// all peers have answered, after shareTimeout, or when ctx ends.
+// Lost records that an endpoint crashed while it ran the request. It returns
+// when all peers have answered, after shareTimeout, or when ctx ends.
 func (re *Registry) Lost(ctx context.Context, fingerprint uint64, lo Loss) {
 	ca := Case{Fingerprint: fingerprint, Losses: []Loss{lo}}
 	re.merge(ca)
 	re.broadcast(ctx, ca)
 }
 
-// Finished clears a completed request of all losses known now. If that changes its
-// record, it notifies the peers and waits for them like Lost.
+// Finished clears a completed request of all losses known now. If that changes
+// its record, it notifies the peers and waits for them like Lost.
 func (re *Registry) Finished(ctx context.Context, fingerprint uint64) {
 	ca, changed := re.clear(fingerprint)
 	if changed {
@@ -138,8 +139,8 @@
 	return ca, len(ca.Cleared) > 0
 }
 
-// merge adds the losses and clearings of a case. A loss that is cleared on either
-// side stays cleared.
+// merge adds the losses and clearings of a case. A loss that is cleared on
+// either side stays cleared.
 func (re *Registry) merge(ca Case) {
 	if ca.Fingerprint == 0 {
 		return
@@ -179,7 +180,8 @@
 }
 
 // broadcast sends a case to all peers concurrently. It waits until all have
-// answered, or for shareTimeout. Errors are ignored: Run repairs what is missed.
+// answered, or for shareTimeout. Errors are ignored: Run repairs what is
+// missed.
 func (re *Registry) broadcast(ctx context.Context, ca Case) {
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,10 +1,11 @@
 // Package warmup limits the concurrency of endpoints in cold start.
 //
-// An endpoint is cold when it is first seen, when its boot ID changes, and when it
-// becomes unexpectedly slow. A cold endpoint takes as many concurrent requests as
-// its configured cold limit. The limit doubles each time the endpoint has proved
-// itself: it has completed enough work at normal speed, with as many concurrent
-// requests as the limit allows. It returns to the cold limit in one step.
+// An endpoint is cold when it is first seen, when its boot ID changes, and when
+// it becomes unexpectedly slow. A cold endpoint takes as many concurrent
+// requests as its configured cold limit. The limit doubles each time the
+// endpoint has proved itself: it has completed enough work at normal speed,
+// with as many concurrent requests as the limit allows. It returns to the cold
+// limit in one step.
 //
 // # Usage
 //
@@ -40,8 +41,8 @@
 	reportedBoot string
 }
 
-// New returns the state of an endpoint that is seen for the first time. The limits
-// cold and full are in concurrent requests.
+// New returns the state of an endpoint that is seen for the first time. The
+// limits cold and full are in concurrent requests.
 func New(cold, full int) State {
 	return State{cold: cold, full: full, allowed: min(cold, full)}
 }
@@ -64,23 +65,24 @@
 	return st
 }
 
-// WithWarm returns a copy that is warm. Another allocator has seen the full limit
-// proved under the boot ID, which the endpoint still has.
+// WithWarm returns a copy that is warm. Another allocator has seen the full
+// limit proved under the boot ID, which the endpoint still has.
 func (st State) WithWarm(boot string) State {
 	st.allowed, st.boot = st.full, boot
 	return st
 }
 
-// WithAllowed returns a copy with the limit that another allocator has seen proved
-// under the boot ID. It applies as soon as the endpoint is seen under the same one,
-// and never lowers the limit.
+// WithAllowed returns a copy with the limit that another allocator has seen
+// proved under the boot ID. It applies as soon as the endpoint is seen under
+// the same one, and never lowers the limit.
 func (st State) WithAllowed(boot string, allowed int) State {
 	st.reported, st.reportedBoot = allowed, boot
 	return st.applyReported()
 }
 
-// applyReported applies the reported limit if it was proved under the current boot
-// ID, and discards it otherwise. It does nothing until both boot IDs are known.
+// applyReported applies the reported limit if it was proved under the current
+// boot ID, and discards it otherwise. It does nothing until both boot IDs are
+// known.
 func (st State) applyReported() State {
 	if st.boot == "" || st.reportedBoot == "" {
 		return st
@@ -95,10 +97,10 @@
 // Boot returns the boot ID that was seen last. It is empty if none was seen.
 func (st State) Boot() string { return st.boot }
 
-// WithProof returns a copy with part added to the progress towards the next step,
-// where 1 is a whole step. Callers must only add work that was done while the
-// endpoint ran as many concurrent requests as the limit allows: other work does not
-// prove the limit.
+// WithProof returns a copy with part added to the progress towards the next
+// step, where 1 is a whole step. Callers must only add work that was done while
+// the endpoint ran as many concurrent requests as the limit allows: other work
+// does not prove the limit.
 func (st State) WithProof(part float64) State {
 	if st.Warm() {
 		return st
@@ -112,9 +114,9 @@
 	return st
 }
 
-// WithBoot returns a copy with the boot ID. The copy is cold if the endpoint has
-// restarted, that is, if another boot ID was seen before. The first boot ID that is
-// seen does not make it cold.
+// WithBoot returns a copy with the boot ID. The copy is cold if the endpoint
+// has restarted, that is, if another boot ID was seen before. The first boot ID
+// that is seen does not make it cold.
 func (st State) WithBoot(boot string) State {
 	changed := st.boot != "" && boot != st.boot
 	st.boot = boot
