--- a/internal/roster/doc.go
+++ b/internal/roster/doc.go
@@ -1,14 +1,15 @@
-// Package roster knows the endpoints: which are ready, which leave, which are
-// cold, and from which availability zones operators want them unused.
+// Package roster keeps the set of known endpoints: which are ready, which are
+// leaving, which are in a cold start, and which availability zones operators
+// have evacuated.
 //
-// It is plain state without network. What a store says of endpoints goes in by
-// Reset, Apply, Trouble and Contact; what requests may use comes out by View.
-// An endpoint leaves as soon as any source says so: its own entry, the
-// removal of the entry, or its answers.
+// It holds state only and makes no calls. Changes in the store come in through
+// Reset, Apply, Trouble and Contact; View returns what requests may use. An
+// endpoint leaves as soon as any source says so: its own entry, the removal of
+// the entry, or the endpoint's answers.
 //
-// Entries run out while the store is away, whether or not their endpoints
-// live. Those that are missing when it is back are held for a while, since
-// living endpoints write themselves down again.
+// Entries expire while the store is unavailable, whether or not their
+// endpoints still run. Entries that are missing when the store recovers are
+// retained for a grace period, because running endpoints re-register.
 //
 // # Usage
 //
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -14,59 +14,63 @@
 	"filbertstall.example/filbertstall/internal/snapshot"
 )
 
-// Endpoint is one start of one back end. It does not change.
+// Endpoint is one start of a backend process. It is immutable.
 type Endpoint struct {
-	// ID is new with most starts.
+	// ID usually differs for every start; see Started for when it does not.
 	ID      string
 	Service string
 	Address string
 	Zone    string
 	Version string
 	Slots   int
-	// Leaving endpoints get nothing new.
+	// Leaving is set while the endpoint drains: it gets no new requests.
 	Leaving bool
-	// ColdFor is how much longer the endpoint was cold when the entry was read.
+	// ColdFor is the remaining cold-start time when the entry was read.
 	ColdFor time.Duration
-	// Started is the Unix millisecond of the start; one with the same ID and
-	// another start knows nothing of before.
+	// Started is the start time in Unix milliseconds. A process with the same
+	// ID and another start time has none of the state of the earlier one.
 	Started int64
-	// ColdUntil is by the clock of the instance.
+	// ColdUntil is the end of the cold-start time by this instance's clock;
+	// zero if the endpoint was not cold when its entry was read.
 	ColdUntil time.Time
 }
 
-// holdTime is how long an entry that ran out while the store was away is held
-// after its return. Living endpoints are back within about two seconds, and an
-// endpoint that did leave must be unused by then.
-const holdTime = 1900 * time.Millisecond
+// reregisterGracePeriod is how long, counted from the store's recovery, an
+// endpoint whose entry expired during the outage stays in use. Running
+// endpoints re-register within about two seconds, and an endpoint that did stop
+// must be out of use by then.
+const reregisterGracePeriod = 1900 * time.Millisecond
 
-// Roster holds the endpoints. Set the exported fields before use. It is safe
-// for concurrent use.
+// Roster keeps the known endpoints. Set the exported fields before use. It is
+// safe for concurrent use.
 type Roster struct {
 	Clock clockwork.Clock
 	Log   zerolog.Logger
-	// OnLeave is called, without locks, for each endpoint that was ready and
-	// now leaves or is gone.
+	// OnLeave is called, without locks held, for each endpoint that was not
+	// leaving and now leaves, is removed, or restarts under the same ID. It may
+	// be nil.
 	OnLeave func(Endpoint)
-	// OnChange is called, without locks, after each change of the view; nil
-	// is called never.
+	// OnChange is called, without locks held, each time a view is published. It
+	// may be nil.
 	OnChange func()
 
 	mu        sync.Mutex
 	endpoints map[string]Endpoint
-	// held are the times until which entries are held that the store lacks.
-	held      map[string]time.Time
+	// retained maps endpoints without an entry in the store to the end of their
+	// grace period.
+	retained  map[string]time.Time
 	evacuated map[string]bool
 	listed    bool
-	// away lasts until the store has told something again, silent until it has
-	// answered at all.
-	away   bool
-	silent bool
-	// back is when the store answered again after it was away.
-	back time.Time
-	view snapshot.Holder[View]
+	// storeLost is set from a failed call until the store next delivers a list
+	// or changes, storeSilent until it next answers any call.
+	storeLost   bool
+	storeSilent bool
+	// restoredAt is when storeLost was last cleared; zero if it never was.
+	restoredAt time.Time
+	view       snapshot.Holder[View]
 }
 
-// View returns what requests may use now.
+// View returns the newest view; it is empty before the first update.
 func (ro *Roster) View() *View {
 	if vi := ro.view.Load(); vi != nil {
 		return vi
@@ -74,10 +78,10 @@
 	return &View{}
 }
 
-// Reset implements feed.Sink: list is all that the store has.
+// Reset implements feed.Sink. The list holds every entry in the store.
 func (ro *Roster) Reset(list []feed.Object[Endpoint]) {
 	ro.update(func(now time.Time) (left []Endpoint) {
-		ro.returned(now)
+		ro.markStoreAnswered(now)
 		present := make(map[string]bool, len(list))
 		for _, ob := range list {
 			present[ob.Name] = true
@@ -85,7 +89,7 @@
 		}
 		for id := range ro.endpoints {
 			if !present[id] {
-				left = append(left, ro.missing(id, now)...)
+				left = append(left, ro.handleMissing(id, now)...)
 			}
 		}
 		ro.listed = true
@@ -96,10 +100,10 @@
 // Apply implements feed.Sink.
 func (ro *Roster) Apply(list []feed.Change[Endpoint]) {
 	ro.update(func(now time.Time) (left []Endpoint) {
-		ro.returned(now)
+		ro.markStoreAnswered(now)
 		for _, ch := range list {
 			if ch.Removed {
-				left = append(left, ro.missing(ch.Object.Name, now)...)
+				left = append(left, ro.handleMissing(ch.Object.Name, now)...)
 				continue
 			}
 			left = append(left, ro.put(ch.Object, now)...)
@@ -111,37 +115,38 @@
 // Contact implements feed.Sink.
 func (ro *Roster) Contact(time.Duration) {
 	ro.update(func(now time.Time) []Endpoint {
-		ro.silent = false
-		return ro.expire(now)
+		ro.storeSilent = false
+		return ro.removeExpired(now)
 	})
 }
 
 // Trouble implements feed.Sink.
 func (ro *Roster) Trouble(error) {
 	ro.update(func(now time.Time) []Endpoint {
-		ro.away, ro.silent = true, true
-		return ro.expire(now)
+		ro.storeLost, ro.storeSilent = true, true
+		return ro.removeExpired(now)
 	})
 }
 
-// Tick removes entries whose hold is over. Call it now and then.
+// Tick removes endpoints whose grace period is over. The caller calls it
+// periodically.
 func (ro *Roster) Tick() {
 	ro.mu.Lock()
-	idle := len(ro.held) == 0
+	idle := len(ro.retained) == 0
 	ro.mu.Unlock()
 	if !idle {
-		ro.update(ro.expire)
+		ro.update(ro.removeExpired)
 	}
 }
 
-// Silent tells whether the store did not answer the last call.
+// Silent reports whether the store has not answered since its last failed call.
 func (ro *Roster) Silent() bool {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	return ro.silent
+	return ro.storeSilent
 }
 
-// Leave marks an endpoint that said of itself that it leaves.
+// Leave marks an endpoint as leaving because its own answers say so.
 func (ro *Roster) Leave(id string) {
 	ro.update(func(time.Time) []Endpoint {
 		en, found := ro.endpoints[id]
@@ -154,12 +159,13 @@
 	})
 }
 
-// Evacuate replaces the zones whose endpoints get nothing; they are in order.
+// Evacuate replaces the set of zones whose endpoints get no new requests. The
+// zones are sorted.
 func (ro *Roster) Evacuate(zones []string) {
 	if slices.Equal(ro.View().Evacuated(), zones) {
 		return
 	}
-	ro.Log.Info().Str("event", "evacuations").Strs("zones", zones).Msg("roster: zones without work")
+	ro.Log.Info().Str("event", "evacuations").Strs("zones", zones).Msg("roster: set of evacuated zones changed")
 	ro.update(func(time.Time) []Endpoint {
 		ro.evacuated = make(map[string]bool, len(zones))
 		for _, zone := range zones {
@@ -169,19 +175,20 @@
 	})
 }
 
-// returned notes the end of a time in which the store did not answer.
-func (ro *Roster) returned(now time.Time) {
-	ro.silent = false
-	if ro.away {
-		ro.away, ro.back = false, now
+// markStoreAnswered records that the store answered, and the time if this ends
+// an outage.
+func (ro *Roster) markStoreAnswered(now time.Time) {
+	ro.storeSilent = false
+	if ro.storeLost {
+		ro.storeLost, ro.restoredAt = false, now
 	}
 }
 
-// put takes in an entry. One that can't be read names no endpoint to use.
+// put stores an entry. An entry that cannot be decoded removes its endpoint.
 func (ro *Roster) put(ob feed.Object[Endpoint], now time.Time) []Endpoint {
 	if ob.Value == nil {
-		ro.Log.Warn().Str("event", "entry_unreadable").Str("endpoint", ob.Name).Err(ob.Err).Msg("roster: entry left out")
-		return ro.drop(ob.Name)
+		ro.Log.Warn().Str("event", "entry_unreadable").Str("endpoint", ob.Name).Err(ob.Err).Msg("roster: cannot decode endpoint entry; not using the endpoint")
+		return ro.remove(ob.Name)
 	}
 	if ro.endpoints == nil {
 		ro.endpoints = make(map[string]Endpoint)
@@ -192,61 +199,62 @@
 	}
 	before, known := ro.endpoints[en.ID]
 	if known && before.Started == en.Started && before.Leaving {
-		// An endpoint that leaves does not come back in the same start.
+		// An endpoint does not stop leaving without a restart.
 		en.Leaving = true
 	}
 	ro.endpoints[en.ID] = en
-	delete(ro.held, en.ID)
+	delete(ro.retained, en.ID)
 	if known && !before.Leaving && (en.Leaving || before.Started != en.Started) {
-		ro.Log.Info().Str("event", "endpoint_leaves").Str("endpoint", en.ID).Str("zone", en.Zone).Bool("restarted", before.Started != en.Started).Msg("roster: endpoint leaves")
+		ro.Log.Info().Str("event", "endpoint_leaves").Str("endpoint", en.ID).Str("zone", en.Zone).Bool("restarted", before.Started != en.Started).Msg("roster: endpoint is leaving or restarted")
 		return []Endpoint{before}
 	}
 	return nil
 }
 
-// missing takes in that the store has no entry of an endpoint.
-func (ro *Roster) missing(id string, now time.Time) []Endpoint {
+// handleMissing removes an endpoint that has no entry in the store, or retains
+// it for the grace period if the store was unavailable shortly before.
+func (ro *Roster) handleMissing(id string, now time.Time) []Endpoint {
 	en, known := ro.endpoints[id]
 	if !known {
 		return nil
 	}
-	if !en.Leaving && !ro.back.IsZero() && now.Before(ro.back.Add(holdTime)) {
-		if ro.held == nil {
-			ro.held = make(map[string]time.Time)
+	if !en.Leaving && !ro.restoredAt.IsZero() && now.Before(ro.restoredAt.Add(reregisterGracePeriod)) {
+		if ro.retained == nil {
+			ro.retained = make(map[string]time.Time)
 		}
-		if _, held := ro.held[id]; !held {
-			ro.held[id] = ro.back.Add(holdTime)
-			ro.Log.Info().Str("event", "endpoint_held").Str("endpoint", id).Msg("roster: entry ran out while the store was away; held")
+		if _, retained := ro.retained[id]; !retained {
+			ro.retained[id] = ro.restoredAt.Add(reregisterGracePeriod)
+			ro.Log.Info().Str("event", "endpoint_held").Str("endpoint", id).Msg("roster: entry expired while the store was unavailable; retaining the endpoint for a grace period")
 		}
 		return nil
 	}
-	return ro.drop(id)
+	return ro.remove(id)
 }
 
-func (ro *Roster) drop(id string) []Endpoint {
+func (ro *Roster) remove(id string) []Endpoint {
 	en, known := ro.endpoints[id]
 	delete(ro.endpoints, id)
-	delete(ro.held, id)
+	delete(ro.retained, id)
 	if !known {
 		return nil
 	}
-	ro.Log.Info().Str("event", "endpoint_gone").Str("endpoint", id).Str("zone", en.Zone).Bool("was_leaving", en.Leaving).Msg("roster: entry gone")
+	ro.Log.Info().Str("event", "endpoint_gone").Str("endpoint", id).Str("zone", en.Zone).Bool("was_leaving", en.Leaving).Msg("roster: endpoint removed")
 	if en.Leaving {
 		return nil
 	}
 	return []Endpoint{en}
 }
 
-func (ro *Roster) expire(now time.Time) (left []Endpoint) {
-	for id, until := range ro.held {
+func (ro *Roster) removeExpired(now time.Time) (left []Endpoint) {
+	for id, until := range ro.retained {
 		if !now.Before(until) {
-			left = append(left, ro.drop(id)...)
+			left = append(left, ro.remove(id)...)
 		}
 	}
 	return left
 }
 
-// update changes the state, publishes it and tells of endpoints that left.
+// update applies a change, publishes a new view and then calls the callbacks.
 func (ro *Roster) update(change func(now time.Time) []Endpoint) {
 	ro.mu.Lock()
 	left := change(ro.Clock.Now())
@@ -277,26 +285,26 @@
 	return vi
 }
 
-// View is what was known of the endpoints at one moment. It does not change.
+// View is an immutable snapshot of the known endpoints.
 type View struct {
-	// Listed tells whether the store was read at all.
+	// Listed reports whether the store has been listed at least once.
 	Listed    bool
 	byService map[string][]Endpoint
 	byID      map[string]Endpoint
 	evacuated []string
 }
 
-// All returns all endpoints by ID, also those that leave. It must not be
-// changed.
+// All returns all endpoints by ID, including leaving ones. The caller must not
+// change the map.
 func (vi *View) All() map[string]Endpoint { return vi.byID }
 
-// Evacuated returns the zones whose endpoints get nothing, in order.
+// Evacuated returns the sorted zones whose endpoints get no new requests.
 func (vi *View) Evacuated() []string { return vi.evacuated }
 
-// Ready returns a service's endpoints that may get requests, by ID.
+// Ready returns the endpoints of a service that may get requests, sorted by ID.
 func (vi *View) Ready(service string) []Endpoint { return vi.byService[service] }
 
-// Len returns how many endpoints may get requests.
+// Len returns the number of endpoints, of all services, that may get requests.
 func (vi *View) Len() int {
 	count := 0
 	for _, list := range vi.byService {
@@ -305,14 +313,14 @@
 	return count
 }
 
-// Usable returns an endpoint by ID if it may get requests.
+// Usable returns the endpoint with this ID and whether it may get requests.
 func (vi *View) Usable(id string) (Endpoint, bool) {
 	en, found := vi.byID[id]
 	_, evacuated := slices.BinarySearch(vi.evacuated, en.Zone)
 	return en, found && !en.Leaving && !evacuated
 }
 
-// Get returns an endpoint by ID, also one that leaves.
+// Get returns the endpoint with this ID, including a leaving one.
 func (vi *View) Get(id string) (Endpoint, bool) {
 	en, found := vi.byID[id]
 	return en, found
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -12,16 +12,16 @@
 	"filbertstall.example/filbertstall/internal/feed"
 )
 
-type world struct {
+type fixture struct {
 	*Roster
 	clock *clockwork.FakeClock
 	left  []string
 }
 
-func newWorld() *world {
-	wo := &world{clock: clockwork.NewFakeClock()}
-	wo.Roster = &Roster{Clock: wo.clock, Log: zerolog.Nop(), OnLeave: func(en Endpoint) { wo.left = append(wo.left, en.ID) }}
-	return wo
+func newFixture() *fixture {
+	fx := &fixture{clock: clockwork.NewFakeClock()}
+	fx.Roster = &Roster{Clock: fx.clock, Log: zerolog.Nop(), OnLeave: func(en Endpoint) { fx.left = append(fx.left, en.ID) }}
+	return fx
 }
 
 func object(id string, change ...func(*Endpoint)) feed.Object[Endpoint] {
@@ -44,124 +44,126 @@
 	return []feed.Change[Endpoint]{{Object: feed.Object[Endpoint]{Name: id}, Removed: true}}
 }
 
-func (wo *world) ready() []string {
+func (fx *fixture) ready() []string {
 	ids := []string{}
-	for _, en := range wo.View().Ready("pool") {
+	for _, en := range fx.View().Ready("pool") {
 		ids = append(ids, en.ID)
 	}
 	return ids
 }
 
-// An endpoint leaves by whichever sign comes first, and is told of once.
+// An endpoint leaves at the first of several signals, and OnLeave is called
+// once for it.
 func TestLeaving(t *testing.T) {
 	for _, ca := range []struct {
-		name  string
-		signs func(wo *world)
+		name   string
+		signal func(fx *fixture)
 	}{
-		{"by its entry", func(wo *world) { wo.Apply(put(object("e1", leaving))) }},
-		{"by the removal of its entry", func(wo *world) { wo.Apply(removed("e1")) }},
-		{"by its absence from a list", func(wo *world) { wo.Reset([]feed.Object[Endpoint]{object("e2")}) }},
-		{"by its answers", func(wo *world) { wo.Leave("e1") }},
-		{"by an entry that can't be read", func(wo *world) {
-			wo.Apply(put(feed.Object[Endpoint]{Name: "e1", Err: errors.New("not JSON")}))
+		{"by its entry", func(fx *fixture) { fx.Apply(put(object("e1", leaving))) }},
+		{"by the removal of its entry", func(fx *fixture) { fx.Apply(removed("e1")) }},
+		{"by its absence from a new list", func(fx *fixture) { fx.Reset([]feed.Object[Endpoint]{object("e2")}) }},
+		{"by its answers", func(fx *fixture) { fx.Leave("e1") }},
+		{"by an entry that cannot be decoded", func(fx *fixture) {
+			fx.Apply(put(feed.Object[Endpoint]{Name: "e1", Err: errors.New("not JSON")}))
 		}},
-		{"by its entry and then its removal", func(wo *world) {
-			wo.Apply(put(object("e1", leaving)))
-			wo.Apply(removed("e1"))
+		{"by its entry and then its removal", func(fx *fixture) {
+			fx.Apply(put(object("e1", leaving)))
+			fx.Apply(removed("e1"))
 		}},
-		{"and does not come back in the same start", func(wo *world) {
-			wo.Leave("e1")
-			wo.Apply(put(object("e1")))
+		{"and does not become ready again without a restart", func(fx *fixture) {
+			fx.Leave("e1")
+			fx.Apply(put(object("e1")))
 		}},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
 			g := NewWithT(t)
-			wo := newWorld()
-			wo.Reset([]feed.Object[Endpoint]{object("e1"), object("e2")})
-			g.Expect(wo.ready()).To(Equal([]string{"e1", "e2"}))
-			ca.signs(wo)
-			g.Expect(wo.ready()).To(Equal([]string{"e2"}))
-			g.Expect(wo.left).To(Equal([]string{"e1"}))
+			fx := newFixture()
+			fx.Reset([]feed.Object[Endpoint]{object("e1"), object("e2")})
+			g.Expect(fx.ready()).To(Equal([]string{"e1", "e2"}))
+			ca.signal(fx)
+			g.Expect(fx.ready()).To(Equal([]string{"e2"}))
+			g.Expect(fx.left).To(Equal([]string{"e1"}))
 		})
 	}
 }
 
 func TestRestartUnderTheSameID(t *testing.T) {
 	g := NewWithT(t)
-	wo := newWorld()
-	wo.Reset([]feed.Object[Endpoint]{object("e1")})
-	wo.Leave("e1")
-	wo.Apply(put(object("e1", restarted)))
-	g.Expect(wo.ready()).To(Equal([]string{"e1"}), "the new start has not said that it leaves")
+	fx := newFixture()
+	fx.Reset([]feed.Object[Endpoint]{object("e1")})
+	fx.Leave("e1")
+	fx.Apply(put(object("e1", restarted)))
+	g.Expect(fx.ready()).To(Equal([]string{"e1"}), "the restarted endpoint is not leaving")
 }
 
-// Entries run out while the store is away; the endpoints may well live.
+// Entries expire during an outage of the store although their endpoints may
+// still run. Such endpoints stay in use until the grace period ends.
 func TestEntriesThatRanOutWhileTheStoreWasAway(t *testing.T) {
 	for _, ca := range []struct {
-		name     string
-		comeBack func(wo *world)
+		name    string
+		recover func(fx *fixture)
 	}{
-		{"found missing by a list", func(wo *world) { wo.Reset(nil) }},
-		{"removed by a change", func(wo *world) { wo.Apply(removed("e1")) }},
+		{"missing from a list", func(fx *fixture) { fx.Reset(nil) }},
+		{"removed by a change", func(fx *fixture) { fx.Apply(removed("e1")) }},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
 			g := NewWithT(t)
-			wo := newWorld()
-			wo.Reset([]feed.Object[Endpoint]{object("e1")})
-			wo.Trouble(errors.New("no answer"))
-			wo.clock.Advance(5 * time.Second)
-			g.Expect(wo.ready()).To(Equal([]string{"e1"}), "while the store is away")
-			ca.comeBack(wo)
-			g.Expect(wo.ready()).To(Equal([]string{"e1"}), "held when it is back")
-			wo.clock.Advance(holdTime)
-			wo.Tick()
-			g.Expect(wo.ready()).To(BeEmpty(), "one that is still missing is gone")
-			g.Expect(wo.left).To(Equal([]string{"e1"}))
+			fx := newFixture()
+			fx.Reset([]feed.Object[Endpoint]{object("e1")})
+			fx.Trouble(errors.New("no answer"))
+			fx.clock.Advance(5 * time.Second)
+			g.Expect(fx.ready()).To(Equal([]string{"e1"}), "during the outage")
+			ca.recover(fx)
+			g.Expect(fx.ready()).To(Equal([]string{"e1"}), "retained after the store recovers")
+			fx.clock.Advance(reregisterGracePeriod)
+			fx.Tick()
+			g.Expect(fx.ready()).To(BeEmpty(), "an endpoint still missing after the grace period is removed")
+			g.Expect(fx.left).To(Equal([]string{"e1"}))
 		})
 	}
-	t.Run("back in time", func(t *testing.T) {
+	t.Run("re-registered within the grace period", func(t *testing.T) {
 		g := NewWithT(t)
-		wo := newWorld()
-		wo.Reset([]feed.Object[Endpoint]{object("e1")})
-		wo.Trouble(errors.New("no answer"))
-		wo.Reset(nil)
-		wo.clock.Advance(time.Second)
-		wo.Apply(put(object("e1")))
-		wo.clock.Advance(holdTime)
-		wo.Tick()
-		g.Expect(wo.ready()).To(Equal([]string{"e1"}))
-		g.Expect(wo.left).To(BeEmpty())
+		fx := newFixture()
+		fx.Reset([]feed.Object[Endpoint]{object("e1")})
+		fx.Trouble(errors.New("no answer"))
+		fx.Reset(nil)
+		fx.clock.Advance(time.Second)
+		fx.Apply(put(object("e1")))
+		fx.clock.Advance(reregisterGracePeriod)
+		fx.Tick()
+		g.Expect(fx.ready()).To(Equal([]string{"e1"}))
+		g.Expect(fx.left).To(BeEmpty())
 	})
-	t.Run("a removal long after the return is final", func(t *testing.T) {
+	t.Run("a removal after the grace period takes effect at once", func(t *testing.T) {
 		g := NewWithT(t)
-		wo := newWorld()
-		wo.Reset([]feed.Object[Endpoint]{object("e1")})
-		wo.Trouble(errors.New("no answer"))
-		wo.Contact(0)
-		wo.Apply(put(object("e1")))
-		wo.clock.Advance(holdTime)
-		wo.Apply(removed("e1"))
-		g.Expect(wo.ready()).To(BeEmpty())
+		fx := newFixture()
+		fx.Reset([]feed.Object[Endpoint]{object("e1")})
+		fx.Trouble(errors.New("no answer"))
+		fx.Contact(0)
+		fx.Apply(put(object("e1")))
+		fx.clock.Advance(reregisterGracePeriod)
+		fx.Apply(removed("e1"))
+		g.Expect(fx.ready()).To(BeEmpty())
 	})
 }
 
 func TestEvacuation(t *testing.T) {
 	g := NewWithT(t)
-	wo := newWorld()
-	wo.Reset([]feed.Object[Endpoint]{object("e1"), object("e2", func(en *Endpoint) { en.Zone = "b" })})
-	wo.Evacuate([]string{"a"})
-	g.Expect(wo.ready()).To(Equal([]string{"e2"}))
-	g.Expect(wo.left).To(BeEmpty(), "what runs there goes on")
-	wo.Evacuate(nil)
-	g.Expect(wo.ready()).To(Equal([]string{"e1", "e2"}))
+	fx := newFixture()
+	fx.Reset([]feed.Object[Endpoint]{object("e1"), object("e2", func(en *Endpoint) { en.Zone = "b" })})
+	fx.Evacuate([]string{"a"})
+	g.Expect(fx.ready()).To(Equal([]string{"e2"}))
+	g.Expect(fx.left).To(BeEmpty(), "requests that run in an evacuated zone continue")
+	fx.Evacuate(nil)
+	g.Expect(fx.ready()).To(Equal([]string{"e1", "e2"}))
 }
 
 func TestColdTime(t *testing.T) {
 	g := NewWithT(t)
-	wo := newWorld()
-	wo.Reset([]feed.Object[Endpoint]{object("e1", func(en *Endpoint) { en.ColdFor = time.Second })})
-	en, _ := wo.View().Get("e1")
-	g.Expect(en.ColdUntil).To(Equal(wo.clock.Now().Add(time.Second)))
+	fx := newFixture()
+	fx.Reset([]feed.Object[Endpoint]{object("e1", func(en *Endpoint) { en.ColdFor = time.Second })})
+	en, _ := fx.View().Get("e1")
+	g.Expect(en.ColdUntil).To(Equal(fx.clock.Now().Add(time.Second)))
 }
 
 func TestUsable(t *testing.T) {
@@ -169,19 +171,19 @@
 	ro := &Roster{Clock: clockwork.NewFakeClock(), Log: zerolog.Nop()}
 	ready := Endpoint{ID: "ready", Zone: "a"}
 	leaving := Endpoint{ID: "leaving", Zone: "a", Leaving: true}
-	away := Endpoint{ID: "away", Zone: "b"}
-	for _, en := range []*Endpoint{&ready, &leaving, &away} {
+	evacuated := Endpoint{ID: "evacuated", Zone: "b"}
+	for _, en := range []*Endpoint{&ready, &leaving, &evacuated} {
 		ro.Apply([]feed.Change[Endpoint]{{Object: feed.Object[Endpoint]{Name: en.ID, Value: en}}})
 	}
 	ro.Evacuate([]string{"b"})
-	for id, want := range map[string]bool{"ready": true, "leaving": false, "away": false, "unknown": false} {
+	for id, want := range map[string]bool{"ready": true, "leaving": false, "evacuated": false, "unknown": false} {
 		_, usable := ro.View().Usable(id)
 		g.Expect(usable).To(Equal(want), id)
 	}
 }
 
-// The store counts as silent from a call without an answer to the next answer,
-// also one that tells nothing new.
+// The store counts as silent from a failed call until its next answer, even if
+// that answer contains nothing new.
 func TestSilentStore(t *testing.T) {
 	g := NewWithT(t)
 	ro := &Roster{Clock: clockwork.NewFakeClock(), Log: zerolog.Nop()}
