--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// Repeat says what may be done again for one request.
+// Repeat is the retry class of a route: how often, and in which form, its
+// requests may run.
 type Repeat int
 
-// The kinds of routes.
+// The retry classes of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Repeat = iota + 1
-	// AtMostOnce requests may run once at most.
+	// AtMostOnce requests must not run more than once.
 	AtMostOnce
-	// Streaming requests run once at most and are answered by events.
+	// Streaming requests must not run more than once and are answered by an
+	// event stream.
 	Streaming
 )
 
@@ -29,13 +31,15 @@
 	}
 }
 
-// Share is the part of a route's requests that goes to one service.
+// Share is the fraction of a route's requests that goes to one service, as a
+// weight relative to the other shares of the route.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route says where the requests of a host and path go, and within which bounds.
+// Route maps a host and path prefix to services, with the limits for its
+// requests.
 type Route struct {
 	Name string
 	Host string
@@ -44,66 +48,68 @@
 	Repeat     Repeat
 	// Timeout bounds the time from the arrival of a request to its last byte.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to a stream's first event, within
-	// which the answer has its full value.
+	// Objective is the target time to the response, or to the first event of a
+	// stream. A later response is worth less.
 	Objective time.Duration
-	// MaxGap is the longest pause between events within the objective.
+	// MaxGap is the target for the longest time between two events of a stream.
 	MaxGap time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	// Shares has one entry, or several where the route is split.
+	// Shares holds the traffic split; it has one entry if the route is not
+	// split.
 	Shares []Share
-	// MaxAttempts bounds the endpoints that may run one request.
+	// MaxAttempts is the maximum number of endpoints that may run one request.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes accept requests without a key.
 	Public bool
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is how many generations an engine runs at once.
+	// Slots is the number of generations that an engine runs concurrently.
 	Slots int
-	// MemoryTokens is how many tokens an engine's memory holds.
+	// MemoryTokens is the capacity of an engine's KV cache in tokens.
 	MemoryTokens int
-	// TokenBytes is what one token takes when it is copied.
+	// TokenBytes is the size of the KV cache of one token in bytes.
 	TokenBytes int
-	// LinkBits is the bandwidth for copies, in bits a second.
+	// LinkBits is the bandwidth for KV-cache copies in bits per second.
 	LinkBits float64
-	// Migrates tells whether runs can be moved between engines.
+	// Migrates reports whether runs can migrate between engines.
 	Migrates bool
-	// Standbys tells whether engines keep copies of runs elsewhere.
+	// Standbys reports whether engines keep standby copies of runs on other
+	// engines.
 	Standbys bool
-	// TokensPerEvent is how many tokens one event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
-	// HandleTimeout is how long a copy waits to be used.
+	// HandleTimeout is how long an unused KV-cache copy is kept.
 	HandleTimeout time.Duration
 }
 
-// Service is a group of endpoints that answer the same requests.
+// Service is a group of endpoints that serve the same requests.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections bounds the connections of all callers to one endpoint.
+	// MaxConnections limits the connections to one endpoint, over all clients.
 	MaxConnections int
-	// ColdStart is how long an endpoint is cold after its start.
+	// ColdStart is the duration of an endpoint's cold start.
 	ColdStart time.Duration
-	// ColdRate is how many requests a second a cold endpoint bears; zero means
-	// that cold endpoints need no protection.
+	// ColdRate is the maximum rate of requests per second to an endpoint in its
+	// cold start; zero means no limit.
 	ColdRate float64
-	// Engine is nil for plain services.
+	// Engine is nil for services that run no model engines.
 	Engine *Engine
 }
 
-// Team is a group of callers.
+// Team is a group of callers that share keys and a priority.
 type Team struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route, if HasPriority.
+	// Priority overrides the priority of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bounds what a caller may send.
+// Limits bounds the sizes and timings of incoming requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -111,26 +117,26 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version of what operators configured. It does not
-// change after New.
+// Configuration is one immutable version of the operators' configuration,
+// indexed for lookups.
 type Configuration struct {
 	Version  int64
 	routes   map[string][]Route // by host, longest prefix first
 	services map[string]Service
 	teams    map[string]Team // by key
-	teamed   bool
+	hasTeams bool
 	limits   Limits
 	source   []byte
 }
 
-// Spec is what a Configuration is made from.
+// Spec is the input of New.
 type Spec struct {
 	Version  int64
 	Routes   []Route
 	Services []Service
 	Teams    []Team
 	Limits   Limits
-	// Source is the text that it was read from, to be handed on to instances
-	// that can't reach the store.
+	// Source is the serialized configuration, from which instances that cannot
+	// reach the store decode it.
 	Source []byte
 }
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,16 +1,16 @@
-// Package routing holds what operators configure for callers: routes, services,
-// teams and their keys. It finds the route of a request and the team of a key.
+// Package routing holds the configuration for callers: routes, services, teams
+// and their keys. It looks up the route of a request and the team of a key.
 //
-// A Configuration is immutable. A State publishes the newest one: its version
-// only rises in the life of a process, and it knows how old the proof is that
-// no newer one exists, since a key that was taken away must not be accepted
-// for long by an instance that is cut off.
+// A Configuration is immutable. A State publishes the newest one; its version
+// never decreases within a process. The State also tracks the time since the
+// store last confirmed that no newer version exists, because an instance that
+// is cut off from the store must not accept a revoked key for long.
 //
 // # Usage
 //
 //	st := &routing.State{Clock: boottime.Clock{}}
 //	st.Put(cf)                  // by the controller that follows the store
-//	st.Confirm(asked)           // each time the store confirmed the version
+//	st.Confirm(askedAt)         // each time the store confirmed the version
 //	cf := st.Load()
 //	ro, found := cf.Match("books.example", "/guides/7")
 //	te, found := cf.Team(key)
--- a/internal/routing/match.go
+++ b/internal/routing/match.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// New indexes a specification.
+// New indexes a specification. It compares host names in lower case.
 func New(sp Spec) *Configuration {
 	cf := &Configuration{
-		Version: sp.Version, limits: sp.Limits, source: sp.Source, teamed: len(sp.Teams) > 0,
+		Version: sp.Version, limits: sp.Limits, source: sp.Source, hasTeams: len(sp.Teams) > 0,
 		routes: make(map[string][]Route), services: make(map[string]Service), teams: make(map[string]Team),
 	}
 	for _, ro := range sp.Routes {
@@ -32,12 +32,12 @@
 	return cf
 }
 
-// Match returns the route with the longest prefix of path at host. A port in
-// host is ignored, and so is its case.
+// Match returns the route with the longest matching path prefix at a host. It
+// ignores the port and the case of the host.
 func (cf *Configuration) Match(host, path string) (Route, bool) {
 	list, found := cf.routes[host]
 	if !found {
-		list = cf.routes[bareHost(host)]
+		list = cf.routes[normalizeHost(host)]
 	}
 	for _, ro := range list {
 		if strings.HasPrefix(path, ro.PathPrefix) {
@@ -47,24 +47,25 @@
 	return Route{}, false
 }
 
-func bareHost(host string) string {
-	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
-		host = host[:colon]
+func normalizeHost(host string) string {
+	if portStart := strings.LastIndexByte(host, ':'); portStart >= 0 && !strings.HasSuffix(host, "]") {
+		host = host[:portStart]
 	}
 	return strings.ToLower(host)
 }
 
-// Team returns the team that holds a key.
+// Team returns the team that the key belongs to.
 func (cf *Configuration) Team(key string) (Team, bool) {
 	te, found := cf.teams[key]
 	return te, found
 }
 
-// NeedsKey tells whether requests of a route must carry a key.
-func (cf *Configuration) NeedsKey(ro Route) bool { return cf.teamed && !ro.Public }
+// NeedsKey reports whether requests of a route must carry a key: without any
+// team in the configuration, none do.
+func (cf *Configuration) NeedsKey(ro Route) bool { return cf.hasTeams && !ro.Public }
 
-// HasTeams tells whether any team is configured.
-func (cf *Configuration) HasTeams() bool { return cf.teamed }
+// HasTeams reports whether any team is configured.
+func (cf *Configuration) HasTeams() bool { return cf.hasTeams }
 
 // Service returns a service by name.
 func (cf *Configuration) Service(name string) (Service, bool) {
@@ -72,15 +73,14 @@
 	return se, found
 }
 
-// Source returns the text that the configuration was read from. It must not be
-// changed.
+// Source returns the serialized configuration. The caller must not change it.
 func (cf *Configuration) Source() []byte { return cf.source }
 
-// Limits returns the bounds on what callers send.
+// Limits returns the limits for incoming requests.
 func (cf *Configuration) Limits() Limits { return cf.limits }
 
-// ServiceOf returns the service that a request goes to. The same request goes
-// to the same service on every instance.
+// ServiceOf returns the service for a request ID. It hashes the ID, so that all
+// instances choose the same service.
 func (ro Route) ServiceOf(request string) string {
 	if len(ro.Shares) == 1 {
 		return ro.Shares[0].Service
@@ -89,15 +89,15 @@
 	for _, sh := range ro.Shares {
 		total += sh.Weight
 	}
-	const steps = 1 << 20
-	point := float64(xxhash.Sum64String(request)%steps) / steps * total
+	const buckets = 1 << 20
+	remaining := float64(xxhash.Sum64String(request)%buckets) / buckets * total
 	last := ""
 	for _, sh := range ro.Shares {
 		if sh.Weight <= 0 {
 			continue
 		}
 		last = sh.Service
-		if point -= sh.Weight; point < 0 {
+		if remaining -= sh.Weight; remaining < 0 {
 			break
 		}
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -36,7 +36,7 @@
 		{"longest prefix", "books.example", "/a/b/c", "deep"},
 		{"shorter prefix", "books.example", "/a/bc", "all"},
 		{"prefix itself", "books.example", "/a/", "all"},
-		{"no slash behind", "books.example", "/a", ""},
+		{"missing trailing slash", "books.example", "/a", ""},
 		{"port and case", "Books.Example:8080", "/a/x", "all"},
 		{"other host", "other.example", "/a/x", ""},
 	} {
@@ -63,7 +63,7 @@
 	g.Expect(known).To(BeFalse())
 }
 
-// A split keeps to its weights, and a request keeps to its side.
+// A split follows its weights, and a request ID always maps to the same service.
 func TestSplit(t *testing.T) {
 	g := NewWithT(t)
 	ro := Route{Shares: []Share{{"a", 90}, {"none", 0}, {"b", 10}}}
@@ -79,7 +79,7 @@
 	g.Expect(counts["a"] + counts["b"]).To(Equal(requests))
 }
 
-// Whatever the order in which versions come, the version in force only rises.
+// The version in force never decreases, in whichever order versions arrive.
 func TestVersionsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		st := &State{Clock: &boottime.Manual{}}
@@ -94,22 +94,23 @@
 	})
 }
 
-// The age of a proof counts suspensions, and a late older proof doesn't renew it.
+// The age of a confirmation includes suspensions of the machine, and an older
+// confirmation that arrives late does not reset it.
 func TestProofAge(t *testing.T) {
 	g := NewWithT(t)
 	clock := &boottime.Manual{}
 	clock.Advance(time.Minute)
 	st := &State{Clock: clock}
-	_, proven := st.Age()
-	g.Expect(proven).To(BeFalse())
+	_, confirmed := st.Age()
+	g.Expect(confirmed).To(BeFalse())
 	st.Confirm(clock.Now())
-	_, proven = st.Age()
-	g.Expect(proven).To(BeFalse(), "a proof without a configuration proves nothing")
+	_, confirmed = st.Age()
+	g.Expect(confirmed).To(BeFalse(), "a confirmation without a configuration does not count")
 	st.Put(testConfiguration(1))
 	st.Confirm(clock.Now())
 	clock.Advance(3 * time.Second)
 	st.Confirm(clock.Now() - 5*time.Second)
-	age, proven := st.Age()
-	g.Expect(proven).To(BeTrue())
+	age, confirmed := st.Age()
+	g.Expect(confirmed).To(BeTrue())
 	g.Expect(age).To(Equal(3 * time.Second))
 }
