--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -1,10 +1,11 @@
-// Package member keeps the view of which entry instances there are, from the
-// platform's list, which lags, and from probes of its own.
+// Package member maintains each instance's view of the other entry instances,
+// from the platform's list, which lags behind, and from its own probes.
 //
-// Instances of one zone probe each other; between zones each instance probes
-// a few of every other zone, chosen by rendezvous order. A probe carries the
-// version of the configuration in force, so it is also the digest that makes
-// up for lost notices. No decision needs two instances to agree on a view.
+// Instances of one zone probe each other. Between zones, each instance probes
+// a few members of every other zone, chosen by rendezvous hashing. A probe
+// carries the version of the configuration in force, so that it also repairs
+// missed change notifications. No decision requires two instances to have the
+// same view.
 //
 // # Usage
 //
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -19,12 +19,12 @@
 )
 
 func init() {
-	// A fixed seed gives CI the same verdict every run.
+	// A fixed seed makes the runs in CI reproducible.
 	_ = flag.Set("rapid.seed", "20261203")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// group is some tables over one platform and one transport.
+// group is a set of tables that share a fake platform and a fake transport.
 type group struct {
 	store  *platformfake.Store
 	net    *peerfake.Net
@@ -64,7 +64,7 @@
 	}
 }
 
-// expect checks the state of one member in the views of all others.
+// expect checks the state of one member in the views of all other instances.
 func (gr *group) expect(t *testing.T, name string, want member.State) {
 	t.Helper()
 	for _, ta := range gr.tables {
@@ -72,7 +72,7 @@
 			continue
 		}
 		if me, _ := ta.View().Member(name); me.State != want {
-			t.Errorf("%s has %s as %q, want %q", ta.Self.Name, name, me.State, want)
+			t.Errorf("%s sees %s in state %q, want %q", ta.Self.Name, name, me.State, want)
 		}
 	}
 }
@@ -86,9 +86,9 @@
 		version := gr.tables[0].View().Version
 		time.Sleep(time.Minute)
 		if now := gr.tables[0].View().Version; now != version {
-			t.Errorf("the view went from version %d to %d while nothing changed", version, now)
+			t.Errorf("view version rose from %d to %d without a change of membership", version, now)
 		}
-		// The platform's list lags: it shows the dead member as live for 20 s.
+		// The platform's list lags: it shows the stopped member as live for 20 s.
 		gr.cancel[3]()
 		gr.net.Close(gr.tables[3].Self.Peer)
 		time.Sleep(10 * time.Second)
@@ -118,8 +118,8 @@
 	})
 }
 
-// Members agree on who takes charge of a key, and one that leaves changes only
-// the places behind its own.
+// The rendezvous order of a key does not depend on the order of the members,
+// and removing a member does not reorder the others.
 func TestRendezvous(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,6}`), 2, 20, rapid.ID[string]).Draw(rt, "names")
@@ -130,16 +130,16 @@
 		key := rapid.String().Draw(rt, "key")
 		ranked := member.Rendezvous(key, all)
 		shuffled := rapid.Permutation(all).Draw(rt, "shuffled")
-		out := rapid.IntRange(0, len(all)-1).Draw(rt, "out")
+		removed := rapid.IntRange(0, len(all)-1).Draw(rt, "out")
 		var rest []member.Member
 		for _, me := range shuffled {
-			if me.Name != ranked[out].Name {
+			if me.Name != ranked[removed].Name {
 				rest = append(rest, me)
 			}
 		}
 		for ix, me := range member.Rendezvous(key, rest) {
 			want := ranked[ix]
-			if ix >= out {
+			if ix >= removed {
 				want = ranked[ix+1]
 			}
 			if me.Name != want.Name {
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -13,10 +13,10 @@
 // ServiceName is the name under which Service is registered with a peer.Server.
 const ServiceName = "Member"
 
-// maxNews bounds how many members a probe's answer names.
-const maxNews = 16
+// maxReportedStates is the maximum number of members in ProbeReply.News.
+const maxReportedStates = 16
 
-// ProbeArgs says who probes.
+// ProbeArgs describes the instance that probes.
 type ProbeArgs struct {
 	Name    string
 	Zone    string
@@ -26,37 +26,38 @@
 	Leaving bool
 }
 
-// ProbeReply says who answers.
+// ProbeReply describes the instance that answers.
 type ProbeReply struct {
 	Name    string
 	Zone    string
 	Started int64
 	Version int64
 	Leaving bool
-	// News are the members of the answering instance's zone that are not live,
-	// for instances of other zones that do not probe them.
+	// News lists the members of the answering instance's zone that are not
+	// live. It is sent only to other zones, whose instances probe few of these
+	// members.
 	News []News
 }
 
-// News is what a member's zone says of it.
+// News is the state of a member as seen by an instance of its zone.
 type News struct {
 	Name  string
 	State State
 }
 
-// Contact is where a member is found.
+// Contact is the peer address of a member.
 type Contact struct {
 	Name string
 	Zone string
 	Peer string
 }
 
-// targets returns the members to probe: those of the own zone, a few of each
-// other zone, and now and then those that are gone, which may be back behind a
-// partition that has healed.
+// targets returns the members to probe: zone peers, a few members of each other
+// zone and, in every goneProbeRounds-th round, gone members, which may be
+// reachable again after a network partition.
 func (ta *Table) targets() []Member {
-	list := append(ta.turn(ta.ZonePeers()), ta.FarPeers()...)
-	if ta.rounds.Load()%goneRounds != 0 {
+	list := append(ta.dueInRound(ta.ZonePeers()), ta.FarPeers()...)
+	if ta.rounds.Load()%goneProbeRounds != 0 {
 		return list
 	}
 	for _, me := range ta.View().Members {
@@ -67,33 +68,34 @@
 	return list
 }
 
-// turn returns the members of the own zone whose turn it is. In a large zone
-// that is every other one, since a probe tells both sides of each other; those
-// that do not answer are probed in every round.
-func (ta *Table) turn(peers []Member) []Member {
-	if len(peers) <= wholeRounds {
+// dueInRound returns the zone peers to probe in this round. In a large zone
+// only every other peer is due, because a probe informs both sides; peers that
+// did not answer the last probe are always due.
+func (ta *Table) dueInRound(peers []Member) []Member {
+	if len(peers) <= fullRoundPeers {
 		return peers
 	}
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	return slices.DeleteFunc(peers, func(me Member) bool {
 		en, found := ta.entries[me.Name]
-		odd := xxhash.Sum64String(me.Name)%2 == uint64(ta.rounds.Load()%2)
-		return odd && found && en.missed == 0
+		notDue := xxhash.Sum64String(me.Name)%2 == uint64(ta.rounds.Load()%2)
+		return notDue && found && en.missed == 0
 	})
 }
 
-// farTargets takes the first members of a zone in rendezvous order. Suspected
-// ones are probed too and do not count, so that a few answer.
-func farTargets(self string, all []Member) []Member {
+// remoteZoneTargets returns the first members of a zone in rendezvous order.
+// Suspected members are included and not counted, up to a total of twice
+// probesPerRemoteZone.
+func remoteZoneTargets(self string, all []Member) []Member {
 	var list []Member
-	answering := 0
+	responsive := 0
 	for _, me := range Rendezvous(self, all) {
-		if answering == farPeers || len(list) == 2*farPeers {
+		if responsive == probesPerRemoteZone || len(list) == 2*probesPerRemoteZone {
 			break
 		}
 		if me.State != Suspected {
-			answering++
+			responsive++
 		}
 		list = append(list, me)
 	}
@@ -115,11 +117,11 @@
 	err := ta.Caller.Call(ctx, me.Peer, ServiceName+".Probe", ta.args(), &re)
 	if err != nil || re.Name != me.Name {
 		ta.count(ProbeFailed)
-		ta.miss(me)
+		ta.recordMissedProbe(me)
 		return
 	}
-	ta.hear(Member{Name: re.Name, Zone: re.Zone, Peer: me.Peer, Version: re.Version, Started: time.UnixMilli(re.Started)}, re.Leaving)
-	ta.takeNews(re)
+	ta.recordContact(Member{Name: re.Name, Zone: re.Zone, Peer: me.Peer, Version: re.Version, Started: time.UnixMilli(re.Started)}, re.Leaving)
+	ta.applyReportedStates(re)
 }
 
 func (ta *Table) args() ProbeArgs {
@@ -129,7 +131,7 @@
 	}
 }
 
-func (ta *Table) miss(me Member) {
+func (ta *Table) recordMissedProbe(me Member) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if en, found := ta.entries[me.Name]; found && en.Peer == me.Peer {
@@ -138,12 +140,13 @@
 	}
 }
 
-// hear takes note of a member that answered or probed.
-func (ta *Table) hear(me Member, leaving bool) {
+// recordContact updates the entry of a member that answered a probe or sent
+// one.
+func (ta *Table) recordContact(me Member, leaving bool) {
 	ta.mu.Lock()
-	en := ta.learn(me)
+	en := ta.addOrUpdate(me)
 	if !me.Started.Before(en.Started) {
-		en.heard, en.missed = ta.Clock.Now(), 0
+		en.lastSeen, en.missed = ta.Clock.Now(), 0
 		en.leaving = en.leaving || leaving
 		en.Version = max(en.Version, me.Version)
 	}
@@ -153,36 +156,37 @@
 	}
 }
 
-// takeNews takes over what an instance of another zone says of its own zone.
-func (ta *Table) takeNews(re ProbeReply) {
+// applyReportedStates stores the states that an instance of another zone
+// reports for its zone.
+func (ta *Table) applyReportedStates(re ProbeReply) {
 	if re.Zone == ta.Self.Zone {
 		return
 	}
-	said := make(map[string]State, len(re.News))
+	reportedState := make(map[string]State, len(re.News))
 	for _, ne := range re.News {
-		said[ne.Name] = ne.State
+		reportedState[ne.Name] = ne.State
 	}
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	for name, en := range ta.entries {
 		if en.Zone == re.Zone {
-			en.said = said[name]
+			en.reportedState = reportedState[name]
 		}
 	}
 }
 
-// askSeeds learns of members from the seeds when the platform does not answer.
+// askSeeds fetches members from the seeds when the platform does not answer.
 func (ta *Table) askSeeds(ctx context.Context) {
 	for _, address := range ta.Seeds {
 		if address == ta.Self.Peer {
 			continue
 		}
-		ta.contacts(ctx, address)
+		ta.fetchContacts(ctx, address)
 	}
 	ta.refresh()
 }
 
-func (ta *Table) contacts(ctx context.Context, address string) {
+func (ta *Table) fetchContacts(ctx context.Context, address string) {
 	ctx, cancel := clockwork.WithTimeout(ctx, ta.Clock, probeTimeout)
 	defer cancel()
 	var list []Contact
@@ -194,36 +198,37 @@
 	defer ta.mu.Unlock()
 	for _, co := range list {
 		if co.Name != ta.Self.Name {
-			ta.learn(Member{Name: co.Name, Zone: co.Zone, Peer: co.Peer})
+			ta.addOrUpdate(Member{Name: co.Name, Zone: co.Zone, Peer: co.Peer})
 		}
 	}
 }
 
-// Service answers the calls of other instances.
+// Service is the net/rpc service that other instances call.
 type Service struct {
 	Table *Table
 }
 
-// Probe answers a probe.
+// Probe answers a probe and records the contact with the caller.
 func (se *Service) Probe(args ProbeArgs, re *ProbeReply) error {
 	ta := se.Table
-	ta.hear(Member{Name: args.Name, Zone: args.Zone, Peer: args.Peer, Version: args.Version, Started: time.UnixMilli(args.Started)}, args.Leaving)
+	ta.recordContact(Member{Name: args.Name, Zone: args.Zone, Peer: args.Peer, Version: args.Version, Started: time.UnixMilli(args.Started)}, args.Leaving)
 	own := ta.args()
 	*re = ProbeReply{Name: own.Name, Zone: own.Zone, Started: own.Started, Version: own.Version, Leaving: own.Leaving}
 	if args.Zone == own.Zone {
 		return nil
 	}
 	for _, me := range ta.View().In(own.Zone, Joining, Leaving, Suspected, Gone) {
-		if len(re.News) < maxNews && me.Name != own.Name {
+		if len(re.News) < maxReportedStates && me.Name != own.Name {
 			re.News = append(re.News, News{Name: me.Name, State: me.State})
 		}
 	}
 	return nil
 }
 
-// Contacts returns where all known members are found, and learns of the asker.
+// Contacts returns the peer addresses of all members that are not gone, and
+// records the contact with the caller.
 func (se *Service) Contacts(args ProbeArgs, list *[]Contact) error {
-	se.Table.hear(Member{Name: args.Name, Zone: args.Zone, Peer: args.Peer, Version: args.Version, Started: time.UnixMilli(args.Started)}, args.Leaving)
+	se.Table.recordContact(Member{Name: args.Name, Zone: args.Zone, Peer: args.Peer, Version: args.Version, Started: time.UnixMilli(args.Started)}, args.Leaving)
 	for _, me := range se.Table.View().Members {
 		if me.Present() {
 			*list = append(*list, Contact{Name: me.Name, Zone: me.Zone, Peer: me.Peer})
--- a/internal/member/reason.go
+++ b/internal/member/reason.go
@@ -1,17 +1,17 @@
 package member
 
-// Reason is what a Table counts.
+// Reason is an event that a Table counts.
 type Reason string
 
-// The reasons that are counted as member_events.
+// The values of the reason label of the metric member_events.
 const (
-	// ListFailed counts reads of the platform's list without an answer.
+	// ListFailed counts failed reads of the platform's list.
 	ListFailed Reason = "list_failed"
 	// SeedFailed counts seeds that did not answer.
 	SeedFailed Reason = "seed_failed"
-	// ProbeFailed counts probes without an answer.
+	// ProbeFailed counts probes without a valid answer.
 	ProbeFailed Reason = "probe_failed"
-	// The others count changes of a member's state.
+	// The remaining reasons count transitions of members to a state.
 	BecameJoining   Reason = "became_joining"
 	BecameLive      Reason = "became_live"
 	BecameLeaving   Reason = "became_leaving"
@@ -23,7 +23,7 @@
 	ListFailed, SeedFailed, ProbeFailed, BecameJoining, BecameLive, BecameLeaving, BecameSuspected, BecameGone,
 }
 
-var became = map[State]Reason{
+var stateReasons = map[State]Reason{
 	Joining: BecameJoining, Live: BecameLive, Leaving: BecameLeaving, Suspected: BecameSuspected, Gone: BecameGone,
 }
 
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -21,74 +21,84 @@
 )
 
 const (
-	// ProbeInterval is the time between two probes of one member.
+	// ProbeInterval is the time between two rounds of probes.
 	ProbeInterval = 2 * time.Second
-	// probeTimeout bounds a probe.
+	// probeTimeout is the deadline of a probe.
 	probeTimeout = time.Second
-	// suspectAfter is how many probes in a row go unanswered before a member
-	// is suspected.
+	// suspectAfter is the number of consecutive unanswered probes after which a
+	// member is suspected.
 	suspectAfter = 2
 	// goneAfter is how long a member that the platform no longer lists as live
-	// may be silent before it is gone.
+	// may go unseen before it counts as gone.
 	goneAfter = 10 * time.Second
-	// directTime is how long after it was last heard a member of another zone
-	// counts as one that this instance is in touch with itself.
-	directTime = 3 * ProbeInterval
-	// leaveTimeout is how long a member that said that it leaves may be silent
-	// before it is gone although the platform lists it as live. It is above the
-	// time that an instance gives its open answers.
+	// directContactWindow is the maximum age of a contact with a member of
+	// another zone for which this instance relies on its own probes.
+	directContactWindow = 3 * ProbeInterval
+	// leaveTimeout is how long a member that announced its departure may go
+	// unseen before it counts as gone although the platform still lists it as
+	// live. It exceeds the drain time of an instance.
 	leaveTimeout = 45 * time.Second
-	// forgetAfter is how long a member that is gone stays in the view.
+	// forgetAfter is how long a gone member stays in the view.
 	forgetAfter = 5 * time.Minute
-	// wholeRounds is up to how many other members of a zone are all probed in
-	// every round.
-	wholeRounds = 3
-	// goneRounds is how many rounds of probes leave out the members that are gone.
-	goneRounds = 5
-	// farPeers is how many members of each other zone an instance probes.
-	farPeers = 2
+	// fullRoundPeers is the largest number of zone peers that are all probed in
+	// every round; with more, each round probes about half of them.
+	fullRoundPeers = 3
+	// goneProbeRounds is the interval, in rounds, at which gone members are
+	// probed.
+	goneProbeRounds = 5
+	// probesPerRemoteZone is how many members of each other zone an instance
+	// probes.
+	probesPerRemoteZone = 2
 	// minListInterval and listIntervalPerMember keep the reads of the
-	// platform's list below twenty a second, whatever the number of instances.
+	// platform's list, over all instances, below 20 per second.
 	minListInterval       = 5 * time.Second
 	listIntervalPerMember = 50 * time.Millisecond
 )
 
-// entry is what the table knows of one member.
+// entry is the state that the table keeps for one member.
 type entry struct {
 	Member
-	// listed is the state in the platform's list, empty if it is not there.
+	// listed is the state in the platform's list, empty if the member is not
+	// listed.
 	listed platform.InstanceState
-	// heard is when the member last answered or probed.
-	heard time.Time
-	// missed counts unanswered probes in a row, the last one at missedAt.
+	// lastSeen is when the member last answered a probe or sent one. A new
+	// entry starts with the time at which it was added.
+	lastSeen time.Time
+	// missed counts consecutive unanswered probes, the last of them at
+	// missedAt.
 	missed   int
 	missedAt time.Time
-	// leaving is set once the member says that it leaves.
+	// leaving is set once the member announces that it leaves.
 	leaving bool
-	// said is what an instance of the member's zone last said of it, empty for
-	// nothing out of the ordinary.
-	said State
-	// unlisted is since when the platform's list lacks it, zero if it does not.
+	// reportedState is the state in the last report from the member's zone,
+	// empty if the report did not name the member.
+	reportedState State
+	// unlisted is when the platform's list was first seen without the member,
+	// zero while the member is listed.
 	unlisted time.Time
 	goneAt   time.Time
 }
 
-// Table is the controller that keeps the view. Set the fields before Run.
+// Table is the controller that maintains the view. Set the exported fields
+// before Run.
 type Table struct {
-	// Self is this instance.
+	// Self is this instance. Its State and Version are ignored.
 	Self   Member
 	Store  platform.Store
 	Caller peer.Caller
 	Clock  clockwork.Clock
 	Log    zerolog.Logger
-	// Scope counts probes and changes of state; nil counts nothing.
+	// Scope receives the counters of probes and state changes; nil disables
+	// them.
 	Scope tally.Scope
-	// Seeds are the peer addresses to ask for members when the platform does
+	// Seeds are the peer addresses to fetch members from when the platform does
 	// not answer.
 	Seeds []string
-	// Version returns the configuration in force here.
+	// Version returns the version of the configuration in force on this
+	// instance, zero if there is none.
 	Version func() int64
-	// Seen is told of the version in force at another member.
+	// Seen is called after each contact with another member, with the version
+	// in force there. It may be nil.
 	Seen func(me Member)
 
 	view   snapshot.Holder[View]
@@ -104,7 +114,7 @@
 // Name implements controller.Controller.
 func (ta *Table) Name() string { return "members" }
 
-// View returns the newest view. It holds at least this instance.
+// View returns the newest view. It always contains this instance.
 func (ta *Table) View() *View {
 	if vi := ta.view.Load(); vi != nil {
 		return vi
@@ -112,7 +122,7 @@
 	return &View{Members: []Member{ta.self()}}
 }
 
-// Run keeps the view until ctx ends.
+// Run maintains the view until ctx ends.
 func (ta *Table) Run(ctx context.Context) error {
 	gr, ctx := errgroup.WithContext(ctx)
 	gr.Go(func() error { return ta.runList(ctx) })
@@ -120,24 +130,26 @@
 	return gr.Wait()
 }
 
-// Leave marks this instance as leaving and tells those that it probes.
+// Leave marks this instance as leaving and probes its targets at once, so that
+// they learn of it.
 func (ta *Table) Leave(ctx context.Context) {
 	ta.leaving.Store(true)
 	ta.refresh()
 	ta.probeAll(ctx)
 }
 
-// Settled tells whether this instance has read the platform's list and has
-// probed those on it once.
+// Settled reports whether this instance has read the platform's list and then
+// completed a round of probes.
 func (ta *Table) Settled() bool { return ta.settled.Load() }
 
-// First tells whether this instance is among the first of its zone to take
-// charge of a key, from its own view alone.
+// First reports whether this instance is among the first places live members of
+// its zone, in the rendezvous order of the key. It uses the local view alone,
+// so two instances may both be first while their views differ.
 func (ta *Table) First(key string, places int) bool {
-	return ta.among(key, places, ta.View().In(ta.Self.Zone, Live))
+	return ta.isAmongFirst(key, places, ta.View().In(ta.Self.Zone, Live))
 }
 
-// FirstOfAll is First among the instances of all zones.
+// FirstOfAll is First over the live members of all zones.
 func (ta *Table) FirstOfAll(key string, places int) bool {
 	var live []Member
 	for _, me := range ta.View().Members {
@@ -145,10 +157,10 @@
 			live = append(live, me)
 		}
 	}
-	return ta.among(key, places, live)
+	return ta.isAmongFirst(key, places, live)
 }
 
-func (ta *Table) among(key string, places int, live []Member) bool {
+func (ta *Table) isAmongFirst(key string, places int, live []Member) bool {
 	for ix, me := range Rendezvous(key, live) {
 		if me.Name == ta.Self.Name {
 			return ix < places
@@ -157,19 +169,20 @@
 	return false
 }
 
-// ZonePeers returns the other present members of the own zone.
+// ZonePeers returns the other members of this instance's zone that are not
+// gone.
 func (ta *Table) ZonePeers() []Member {
 	all := ta.View().In(ta.Self.Zone, Joining, Live, Leaving, Suspected)
 	return slices.DeleteFunc(all, func(me Member) bool { return me.Name == ta.Self.Name || me.Peer == "" })
 }
 
-// FarPeers returns a few present members of each other zone.
+// FarPeers returns the members of each other zone that this instance probes.
 func (ta *Table) FarPeers() []Member {
 	var list []Member
 	vi := ta.View()
 	for _, zone := range vi.Zones() {
 		if zone != ta.Self.Zone {
-			list = append(list, farTargets(ta.Self.Name, vi.In(zone, Joining, Live, Leaving, Suspected))...)
+			list = append(list, remoteZoneTargets(ta.Self.Name, vi.In(zone, Joining, Live, Leaving, Suspected))...)
 		}
 	}
 	return list
@@ -211,9 +224,9 @@
 	return nil
 }
 
-// runProbes probes in rounds. The second round comes at a time that follows
-// from the instance's name, so that instances that started together do not go
-// on probing together.
+// runProbes runs the rounds of probes. The delay before the second round is
+// derived from the instance's name, so that instances that started together do
+// not keep probing at the same time.
 func (ta *Table) runProbes(ctx context.Context) error {
 	next := time.Duration(xxhash.Sum64String(ta.Self.Name)%uint64(ProbeInterval)) + 1
 	for ctx.Err() == nil {
@@ -233,14 +246,14 @@
 	}
 }
 
-// merge takes over the platform's list.
+// merge applies the platform's list.
 func (ta *Table) merge(list []platform.Instance) {
 	ta.mu.Lock()
 	listed := make(map[string]platform.InstanceState, len(list))
 	for _, in := range list {
 		listed[in.Name] = in.State
 		if in.Name != ta.Self.Name {
-			ta.learn(Member{Name: in.Name, Zone: in.Zone, Peer: in.Peer})
+			ta.addOrUpdate(Member{Name: in.Name, Zone: in.Zone, Peer: in.Peer})
 		}
 	}
 	for name, en := range ta.entries {
@@ -255,15 +268,16 @@
 	ta.refresh()
 }
 
-// learn adds a member or takes over its new address.
-func (ta *Table) learn(me Member) *entry {
+// addOrUpdate adds a member, or applies the new address of one that restarted
+// or stopped answering at its old address. The caller holds mu.
+func (ta *Table) addOrUpdate(me Member) *entry {
 	if ta.entries == nil {
 		ta.entries = make(map[string]*entry)
 	}
 	en, found := ta.entries[me.Name]
 	if !found {
 		me.State = Joining
-		en = &entry{Member: me, heard: ta.Clock.Now()}
+		en = &entry{Member: me, lastSeen: ta.Clock.Now()}
 		ta.entries[me.Name] = en
 	}
 	if me.Started.After(en.Started) || (en.missed > 0 && me.Peer != en.Peer) {
@@ -274,20 +288,21 @@
 	return en
 }
 
-// refresh works out each member's state and publishes a view if one changed.
+// refresh recomputes the state of each member and publishes the view. It
+// removes members that have been gone for forgetAfter.
 func (ta *Table) refresh() {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	now := ta.Clock.Now()
 	next := &View{Members: []Member{ta.self()}}
-	heard := ta.zonesHeard()
+	lastSeen := ta.zonesLastSeen()
 	for name, en := range ta.entries {
 		state := en.state(now)
-		if en.Zone != ta.Self.Zone && !en.direct(now) {
-			state = en.hearsay(now, heard[en.Zone])
+		if en.Zone != ta.Self.Zone && !en.hasDirectContact(now) {
+			state = en.indirectState(now, lastSeen[en.Zone])
 		}
 		if state != en.State {
-			ta.count(became[state])
+			ta.count(stateReasons[state])
 			ta.Log.Info().Str("member", name).Str("state", string(state)).Msg("members: state changed")
 			en.State = state
 		}
@@ -319,41 +334,43 @@
 	ta.view.Store(next)
 }
 
-// sameState leaves out the version of the configuration, which is not a
-// change of membership.
+// sameState ignores the version of the configuration, which is not a change of
+// membership.
 func sameState(le, ri Member) bool {
 	return le.Name == ri.Name && le.Peer == ri.Peer && le.State == ri.State && le.Started.Equal(ri.Started)
 }
 
-// zonesHeard returns when any member of each zone was last heard.
-func (ta *Table) zonesHeard() map[string]time.Time {
-	heard := make(map[string]time.Time)
+// zonesLastSeen returns, by zone, when any member of it was last seen.
+func (ta *Table) zonesLastSeen() map[string]time.Time {
+	lastSeen := make(map[string]time.Time)
 	for _, en := range ta.entries {
-		if en.heard.After(heard[en.Zone]) {
-			heard[en.Zone] = en.heard
+		if en.lastSeen.After(lastSeen[en.Zone]) {
+			lastSeen[en.Zone] = en.lastSeen
 		}
 	}
-	return heard
+	return lastSeen
 }
 
-// direct tells whether this instance and the member probe one another. The
-// start of a member is only known from itself.
-func (en *entry) direct(now time.Time) bool {
-	silent := en.missed >= suspectAfter && now.Sub(en.missedAt) < directTime
-	heard := !en.Started.IsZero() && now.Sub(en.heard) < directTime
-	return silent || heard
+// hasDirectContact reports whether this instance judges the member by its own
+// probes. Only the member itself reports its start time, so a zero one means
+// that there was no contact yet.
+func (en *entry) hasDirectContact(now time.Time) bool {
+	silent := en.missed >= suspectAfter && now.Sub(en.missedAt) < directContactWindow
+	recentlySeen := !en.Started.IsZero() && now.Sub(en.lastSeen) < directContactWindow
+	return silent || recentlySeen
 }
 
-// hearsay is the state of a member of another zone that this instance does not
-// probe: what its zone says, as long as the zone is heard, and the list.
-func (en *entry) hearsay(now, zoneHeard time.Time) State {
+// indirectState derives the state of a member of another zone that this
+// instance does not probe. It combines the platform's list with the reports of
+// the member's zone, as long as that zone can be reached.
+func (en *entry) indirectState(now, zoneLastSeen time.Time) State {
 	switch {
 	case !en.unlisted.IsZero() && now.Sub(en.unlisted) > goneAfter:
 		return Gone
-	case now.Sub(zoneHeard) > goneAfter:
+	case now.Sub(zoneLastSeen) > goneAfter:
 		return Suspected
-	case en.said != "":
-		return en.said
+	case en.reportedState != "":
+		return en.reportedState
 	case en.leaving, en.listed == platform.InstanceLeaving:
 		return Leaving
 	default:
@@ -364,9 +381,9 @@
 func (en *entry) state(now time.Time) State {
 	silent := en.missed >= suspectAfter
 	unlisted := en.listed != platform.InstanceLive
-	away := now.Sub(en.heard)
+	silence := now.Sub(en.lastSeen)
 	switch {
-	case silent && unlisted && away > goneAfter, silent && en.leaving && away > leaveTimeout:
+	case silent && unlisted && silence > goneAfter, silent && en.leaving && silence > leaveTimeout:
 		return Gone
 	case en.leaving, en.listed == platform.InstanceLeaving:
 		return Leaving
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -8,21 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what this instance believes of another one.
+// State is the state of a member as this instance sees it. Instances may
+// differ.
 type State string
 
 // The states of a member.
 const (
-	// Joining members are listed or have announced themselves, and have no
-	// configuration yet.
+	// Joining members are known but have reported no configuration yet.
 	Joining State = "joining"
 	// Live members take requests.
 	Live State = "live"
-	// Leaving members take no new requests and finish those they have.
+	// Leaving members take no new requests and finish those in flight.
 	Leaving State = "leaving"
 	// Suspected members did not answer the last probes.
 	Suspected State = "suspected"
-	// Gone members have not answered for a long time, or have left.
+	// Gone members have gone unseen for too long, or have left.
 	Gone State = "gone"
 )
 
@@ -30,29 +30,30 @@
 type Member struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
-	// Peer is the address of its peer listener.
+	// Peer is the host and port on which the instance serves net/rpc.
 	Peer  string `json:"peer"`
 	State State  `json:"state"`
-	// Version is the configuration in force there when it was last heard of,
-	// zero if it has never been.
+	// Version is the version of the configuration in force on the member at the
+	// last contact, zero if it has reported none.
 	Version int64 `json:"version"`
-	// Started is when the instance started. It tells two instances of the
-	// same name apart.
+	// Started is when the instance started. It distinguishes instances that
+	// reuse a name.
 	Started time.Time `json:"started"`
 }
 
-// Present tells whether the member may be running.
+// Present reports whether the member may still run.
 func (me Member) Present() bool { return me.State != Gone }
 
-// View is one version of the list of members. It is immutable.
+// View is an immutable snapshot of the members.
 type View struct {
-	// Version rises with each change of a member's state.
+	// Version increases with each change of the membership or of a member's
+	// state.
 	Version int64
-	// Members are all known instances in name order, this one included.
+	// Members are all known instances, including this one, sorted by name.
 	Members []Member
 }
 
-// Member returns the member of that name.
+// Member returns the member with this name.
 func (vi *View) Member(name string) (Member, bool) {
 	ix := slices.IndexFunc(vi.Members, func(me Member) bool { return me.Name == name })
 	if ix < 0 {
@@ -61,7 +62,7 @@
 	return vi.Members[ix], true
 }
 
-// In returns the members of a zone that are in one of the states.
+// In returns the members of a zone that are in any of the given states.
 func (vi *View) In(zone string, states ...State) []Member {
 	var list []Member
 	for _, me := range vi.Members {
@@ -72,7 +73,7 @@
 	return list
 }
 
-// Zones returns the zones of all members that are not gone, in name order.
+// Zones returns the sorted zones of all members that are not gone.
 func (vi *View) Zones() []string {
 	var zones []string
 	for _, me := range vi.Members {
@@ -84,9 +85,9 @@
 	return zones
 }
 
-// Rendezvous returns the members in the order in which they take charge of a
-// key. Each instance computes it alone; a member that leaves changes only the
-// places behind its own.
+// Rendezvous returns the members in the order of rendezvous hashing for a key.
+// The order depends only on the names and the key; removing a member does not
+// reorder the others.
 func Rendezvous(key string, members []Member) []Member {
 	weights := make(map[string]uint64, len(members))
 	for _, me := range members {
