--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,19 +1,20 @@
-// Package relay lets a few instances read the store for all: the store counts
-// every call and every waiting watch, and its rates grow more slowly than the
-// fleet.
+// Package relay lets a few instances read the store on behalf of all. The
+// store limits the rate of calls and of pending watches, and its limits grow
+// more slowly than the number of instances.
 //
-// In each availability zone one instance, the reader, follows the store; the
-// others wait at the reader for what changes. The reader is the instance of
-// the zone with the fastest link that was heard lately, so nothing has to be
-// agreed on: two instances that differ about it both work, at the price of
-// some calls. An instance whose reader fails, or knows no more than itself,
-// reads the store at once.
+// In each availability zone one instance, the reader, follows the store. The
+// others wait at the reader for changes. The reader is the instance of the zone
+// with the fastest link among those seen recently, so that no agreement is
+// needed: if two instances choose different readers, both work, at the cost of
+// some additional calls. An instance whose reader fails, or is no more up to
+// date than itself, reads the store at once.
 //
-// What is relayed is small: endpoints, zones without work, the version of the
+// The relayed state is small: endpoints, evacuated zones, the version of the
 // configuration, and whether the store answers. An instance that lacks the
-// version asks the reader for the configuration, and the store only if the
-// reader can't hand it on. A reader states how old its proof is that there is no
-// newer version, and ages are only ever rounded up on the way.
+// version fetches the configuration from the reader, and from the store only if
+// the reader cannot provide it. A reader reports the age of the store's last
+// confirmation that there is no newer version. Instances never underestimate
+// this age.
 //
 // # Usage
 //
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -11,50 +11,55 @@
 	"filbertstall.example/filbertstall/internal/routing"
 )
 
-// Query asks for what changed since an update.
+// Query asks a reader for the changes since an earlier update.
 type Query struct {
-	// Epoch and Sequence are those of the last update; zero asks for all.
+	// Epoch and Sequence are those of the last update received; zero values
+	// request all endpoints.
 	Epoch    int64
 	Sequence uint64
-	// Wait is how long to wait for a change.
+	// Wait is how long the reader may hold the call open for a change.
 	Wait time.Duration
 }
 
-// Update is what changed at a reader.
+// Update is a reader's answer to a Query.
 type Update struct {
 	Epoch    int64
 	Sequence uint64
-	// Direct tells that the sender reads the store itself, and Silent that it got
-	// no answer to its last call.
+	// Direct reports that the sender reads the store itself, Silent that the
+	// store has not answered the sender since the last failed call.
 	Direct bool
 	Silent bool
-	// Full tells that Endpoints are all, not those that changed.
+	// Full reports that Endpoints holds all endpoints, not only the changed
+	// ones.
 	Full      bool
 	Endpoints []roster.Endpoint
 	Removed   []string
-	// Zones are all that operators want unused.
+	// Zones are all zones that operators have evacuated.
 	Zones []string
-	// Version is that of the configuration in force at the sender.
+	// Version is the version of the configuration in force at the sender.
 	Version int64
-	// ConfigurationAge and EndpointsAge are how old the sender's proofs are.
+	// ConfigurationAge and EndpointsAge are the time since the store last
+	// confirmed the configuration and the endpoints to the sender.
 	ConfigurationAge time.Duration
 	EndpointsAge     time.Duration
-	// Held is how long the sender waited for a change.
+	// Held is how long the sender held the call open.
 	Held time.Duration
 }
 
-// logChanges bounds the changes that are kept; who is further behind gets all.
-const logChanges = 1024
+// maxLogChanges is the number of newest changes that remain when the log is
+// trimmed, which happens above twice that number. An instance that is further
+// behind gets a full update.
+const maxLogChanges = 1024
 
-// Log keeps what changed of the endpoints. Set the exported fields before use.
-// It is safe for concurrent use.
+// Log records the changes of the endpoints and serves them to other instances.
+// Set the exported fields before use. It is safe for concurrent use.
 type Log struct {
 	Boot   boottime.Clock
 	Roster *roster.Roster
 	State  *routing.State
-	// Now is the instance's clock, for what is left of cold times.
+	// Now is the clock to which the end of a cold start refers.
 	Now func() time.Time
-	// Epoch tells this start from others of the same instance.
+	// Epoch distinguishes this process from earlier ones of the same instance.
 	Epoch int64
 
 	mu        sync.Mutex
@@ -63,16 +68,17 @@
 	zones     []string
 	version   int64
 	silent    bool
-	// changed has the IDs of endpoints in the order of their changes; the last
-	// one is number sequence.
+	// changed holds the IDs of changed endpoints in order; the last one has the
+	// number sequence. An empty ID stands for a change of anything else.
 	changed []string
 	wake    chan struct{}
 	direct  bool
-	// heard is the boot time of the last answer about endpoints.
-	heard time.Duration
+	// lastAnswer is the boot time at which the last answered call about
+	// endpoints was sent; zero if there is none.
+	lastAnswer time.Duration
 }
 
-// Observe takes in what the roster and the state hold now.
+// Observe records the differences to the current state of Roster and State.
 func (lo *Log) Observe() {
 	vi := lo.Roster.View()
 	version := int64(0)
@@ -86,7 +92,7 @@
 	silent := lo.Roster.Silent()
 	if zones := vi.Evacuated(); version != lo.version || silent != lo.silent || !slices.Equal(zones, lo.zones) {
 		lo.zones, lo.version, lo.silent = zones, version, silent
-		lo.note("")
+		lo.appendChange("")
 	}
 	if lo.sequence != before && lo.wake != nil {
 		close(lo.wake)
@@ -94,7 +100,7 @@
 	}
 }
 
-// compare notes the endpoints that differ from those that are known.
+// compare records the endpoints that differ from the last recorded ones.
 func (lo *Log) compare(all map[string]roster.Endpoint) {
 	if lo.endpoints == nil {
 		lo.endpoints = make(map[string]roster.Endpoint)
@@ -102,41 +108,42 @@
 	for id, en := range all {
 		if old, known := lo.endpoints[id]; !known || old != en {
 			lo.endpoints[id] = en
-			lo.note(id)
+			lo.appendChange(id)
 		}
 	}
 	for id := range lo.endpoints {
 		if _, found := all[id]; !found {
 			delete(lo.endpoints, id)
-			lo.note(id)
+			lo.appendChange(id)
 		}
 	}
 }
 
-func (lo *Log) note(id string) {
+func (lo *Log) appendChange(id string) {
 	lo.sequence++
 	lo.changed = append(lo.changed, id)
-	if len(lo.changed) > 2*logChanges {
-		lo.changed = append([]string(nil), lo.changed[len(lo.changed)-logChanges:]...)
+	if len(lo.changed) > 2*maxLogChanges {
+		lo.changed = append([]string(nil), lo.changed[len(lo.changed)-maxLogChanges:]...)
 	}
 }
 
-// SetDirect notes whether this instance reads the store itself.
+// SetDirect records whether this instance reads the store itself.
 func (lo *Log) SetDirect(direct bool) {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	lo.direct = direct
 }
 
-// Contact notes that a call about endpoints that was begun at a boot time was
-// answered.
+// Contact records that the store answered a call about endpoints that was sent
+// at boot time begun.
 func (lo *Log) Contact(begun time.Duration) {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
-	lo.heard = max(lo.heard, begun)
+	lo.lastAnswer = max(lo.lastAnswer, begun)
 }
 
-// Wait answers a query, at once if there is something new.
+// Wait answers a query as soon as there is a change, or without one after
+// qu.Wait.
 func (lo *Log) Wait(ctx context.Context, qu Query) Update {
 	begun := lo.Boot.Now()
 	ctx, cancel := context.WithTimeout(ctx, qu.Wait)
@@ -161,37 +168,38 @@
 	}
 }
 
-// unknownAge stands for a proof that does not exist.
+// unknownAge is the age that is reported if the store has not confirmed
+// anything yet.
 const unknownAge = 24 * time.Hour
 
-// update makes the update that follows a query; mu is held.
+// update builds the answer to a query. The caller holds mu.
 func (lo *Log) update(qu Query) Update {
 	up := Update{
 		Epoch: lo.Epoch, Sequence: lo.sequence, Direct: lo.direct, Silent: lo.silent, Zones: lo.zones, Version: lo.version,
 		ConfigurationAge: unknownAge, EndpointsAge: unknownAge,
 	}
-	if age, proven := lo.State.Age(); proven {
+	if age, confirmed := lo.State.Age(); confirmed {
 		up.ConfigurationAge = age
 	}
-	if lo.heard > 0 {
-		up.EndpointsAge = lo.Boot.Now() - lo.heard
+	if lo.lastAnswer > 0 {
+		up.EndpointsAge = lo.Boot.Now() - lo.lastAnswer
 	}
 	missed := lo.sequence - qu.Sequence
 	up.Full = qu.Epoch != lo.Epoch || qu.Sequence > lo.sequence || missed > uint64(len(lo.changed))
 	if up.Full {
 		for _, en := range lo.endpoints {
-			up.Endpoints = append(up.Endpoints, lo.aged(en))
+			up.Endpoints = append(up.Endpoints, lo.withRemainingColdTime(en))
 		}
 		return up
 	}
-	done := make(map[string]bool)
+	seen := make(map[string]bool)
 	for _, id := range lo.changed[uint64(len(lo.changed))-missed:] {
-		if id == "" || done[id] {
+		if id == "" || seen[id] {
 			continue
 		}
-		done[id] = true
+		seen[id] = true
 		if en, found := lo.endpoints[id]; found {
-			up.Endpoints = append(up.Endpoints, lo.aged(en))
+			up.Endpoints = append(up.Endpoints, lo.withRemainingColdTime(en))
 			continue
 		}
 		up.Removed = append(up.Removed, id)
@@ -199,35 +207,37 @@
 	return up
 }
 
-// aged states for how long an endpoint is still cold; clocks are not compared.
-func (lo *Log) aged(en roster.Endpoint) roster.Endpoint {
+// withRemainingColdTime replaces the end of the cold start by its remaining
+// time, because the clocks of two instances are not comparable.
+func (lo *Log) withRemainingColdTime(en roster.Endpoint) roster.Endpoint {
 	en.ColdFor = max(en.ColdUntil.Sub(lo.Now()), 0)
 	en.ColdUntil = time.Time{}
 	return en
 }
 
-// ServiceName is the name under which Service is registered.
+// ServiceName is the name under which Service is registered with a peer.Server.
 const ServiceName = "Relay"
 
-// Service answers the calls of other instances.
+// Service is the net/rpc service that other instances call.
 type Service struct{ lo *Log }
 
-// Service returns what other instances call.
+// Service returns the net/rpc service of the log.
 func (lo *Log) Service() *Service { return &Service{lo: lo} }
 
-// maxWait bounds the wait that a query may ask for.
+// maxWait is the upper limit for Query.Wait.
 const maxWait = 2 * time.Second
 
-// None is the argument of calls that need none.
+// None is the argument of methods that need none.
 type None struct{}
 
-// Text is a configuration as the store has it.
+// Text is a configuration in the serialized form that the store holds.
 type Text struct {
 	Version int64
 	Source  []byte
 }
 
-// Configuration returns the configuration in force.
+// Configuration returns the configuration in force; its version is zero if
+// there is none.
 func (se *Service) Configuration(_ None, te *Text) error {
 	if cf := se.lo.State.Load(); cf != nil {
 		te.Version, te.Source = cf.Version, cf.Source()
@@ -235,7 +245,7 @@
 	return nil
 }
 
-// Watch answers a query.
+// Watch answers a query with Wait.
 func (se *Service) Watch(qu Query, up *Update) error {
 	qu.Wait = min(qu.Wait, maxWait)
 	*up = se.lo.Wait(context.Background(), qu)
--- a/internal/relay/reader.go
+++ b/internal/relay/reader.go
@@ -10,20 +10,20 @@
 	"filbertstall.example/filbertstall/internal/loadshare"
 )
 
-// readerOf returns the instance that reads the store for a zone: of those that
-// are alive the one with the fastest link, and among equals the first by the
-// hash of its name, which spreads the work over zones with many instances.
+// readerOf returns the instance that reads the store for a zone: the one with
+// the fastest link among those alive. Ties are broken by a hash of the name,
+// which spreads the work if zones have many instances.
 func readerOf(list []loadshare.Member, self, zone string, alive func(name string) bool) (loadshare.Member, bool) {
-	var able []loadshare.Member
+	var eligible []loadshare.Member
 	for _, me := range list {
 		if me.Zone == zone && (me.Name == self || alive(me.Name)) {
-			able = append(able, me)
+			eligible = append(eligible, me)
 		}
 	}
-	if len(able) == 0 {
+	if len(eligible) == 0 {
 		return loadshare.Member{}, false
 	}
-	return slices.MinFunc(able, func(a, b loadshare.Member) int {
+	return slices.MinFunc(eligible, func(a, b loadshare.Member) int {
 		if order := cmp.Compare(b.Link, a.Link); order != 0 {
 			return order
 		}
@@ -31,7 +31,7 @@
 	}), true
 }
 
-// readersOf returns the readers of the other zones, by the names of the zones.
+// readersOf returns the readers of the other zones, sorted by zone.
 func readersOf(list []loadshare.Member, self, zone string, alive func(name string) bool) []loadshare.Member {
 	zones := make(map[string]bool)
 	for _, me := range list {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -28,8 +28,8 @@
 		want  string
 	}{
 		{"the fastest link of the zone", []string{"slow", "fast", "other"}, "fast"},
-		{"not one that is silent", []string{"slow", "other"}, "slow"},
-		{"none but this instance", nil, "self"},
+		{"not an instance that was not seen recently", []string{"slow", "other"}, "slow"},
+		{"this instance if no other is alive", nil, "self"},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
 			alive := func(name string) bool {
@@ -51,7 +51,7 @@
 	NewWithT(t).Expect(found).To(BeFalse())
 }
 
-// node is the state of one instance.
+// node is the relayed state of one instance.
 type node struct {
 	roster roster.Roster
 	state  routing.State
@@ -103,13 +103,14 @@
 	g.Expect(none.Full).To(BeFalse())
 }
 
-// Who is too far behind, or knows another start of the reader, gets all.
+// A query that is too far behind, or refers to another epoch of the reader, gets
+// a full update.
 func TestLogTellsAll(t *testing.T) {
 	g := NewWithT(t)
 	no := newNode()
 	no.put("e1")
 	first := no.ask(Query{})
-	for ix := range 3 * logChanges {
+	for ix := range 3 * maxLogChanges {
 		no.put("e2", func(en *roster.Endpoint) { en.Slots = ix })
 	}
 	g.Expect(no.ask(Query{Epoch: first.Epoch, Sequence: first.Sequence}).Full).To(BeTrue())
@@ -149,18 +150,18 @@
 		err  error
 	}{
 		{"fresh", Update{Direct: true}, nil},
-		{"follows somebody itself", Update{}, errNotDirect},
-		{"old configuration", Update{Direct: true, ConfigurationAge: maxConfigurationAge + 1}, errOld},
-		{"old endpoints", Update{Direct: true, EndpointsAge: maxEndpointsAge + 1}, errOld},
+		{"follows a reader itself", Update{}, errNotDirect},
+		{"old configuration", Update{Direct: true, ConfigurationAge: maxConfigurationAge + 1}, errStale},
+		{"old endpoints", Update{Direct: true, EndpointsAge: maxEndpointsAge + 1}, errStale},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
-			err := judge(ca.up)
+			err := checkUpdate(ca.up)
 			NewWithT(t).Expect(errors.Is(err, ca.err)).To(BeTrue())
 		})
 	}
 }
 
-// A relayed proof is never younger than the reader's own.
+// A relayed confirmation is never younger than the reader's own.
 func TestProofsAgeOnTheWay(t *testing.T) {
 	g := NewWithT(t)
 	no := newNode()
@@ -170,35 +171,35 @@
 		no.state.Put(routing.New(routing.Spec{Version: 3}))
 		return nil
 	}}
-	sw.Caller = &caller{fail: errors.New("it does not hand it on")}
+	sw.Caller = &caller{fail: errors.New("reader cannot provide the configuration")}
 	begun := no.boot.Now()
-	no.boot.Advance(1200 * time.Millisecond) // of these the reader held the call for 1 s
+	no.boot.Advance(1200 * time.Millisecond) // 1 s of this is the time that the reader held the call
 	up := Update{Version: 3, ConfigurationAge: 300 * time.Millisecond, Held: time.Second}
 	g.Expect(sw.confirm(context.Background(), loadshare.Member{}, up, begun)).To(Succeed())
-	g.Expect(fetched).To(Equal(1), "a version that is not known, and not handed on, is read from the store")
-	age, proven := no.state.Age()
-	g.Expect(proven).To(BeTrue())
+	g.Expect(fetched).To(Equal(1), "a version that the reader cannot provide is fetched from the store")
+	age, confirmed := no.state.Age()
+	g.Expect(confirmed).To(BeTrue())
 	g.Expect(age).To(Equal(500*time.Millisecond), "300 ms at the reader and at most 200 ms on the way")
 	g.Expect(sw.confirm(context.Background(), loadshare.Member{}, up, begun)).To(Succeed())
 	g.Expect(fetched).To(Equal(1))
 }
 
-// Without the configuration that a proof speaks of, the proof is worth nothing:
-// a key may have been taken away by it.
+// A confirmation does not count without the configuration that it refers to,
+// which may revoke a key.
 func TestProofOfAnUnknownVersion(t *testing.T) {
 	g := NewWithT(t)
 	no := newNode()
 	no.state.Put(routing.New(routing.Spec{Version: 2}))
-	sw := &Switch{State: &no.state, Boot: no.boot, Fetch: func(context.Context) error { return nil }, Caller: &caller{fail: errors.New("cut off")}}
+	sw := &Switch{State: &no.state, Boot: no.boot, Fetch: func(context.Context) error { return nil }, Caller: &caller{fail: errors.New("reader unreachable")}}
 	g.Expect(sw.confirm(context.Background(), loadshare.Member{}, Update{Version: 3}, no.boot.Now())).To(Succeed())
-	_, proven := no.state.Age()
-	g.Expect(proven).To(BeFalse())
-	sw.Fetch = func(context.Context) error { return errors.New("cut off") }
-	sw.Caller = &caller{fail: errors.New("cut off, too")}
+	_, confirmed := no.state.Age()
+	g.Expect(confirmed).To(BeFalse())
+	sw.Fetch = func(context.Context) error { return errors.New("store unreachable") }
+	sw.Caller = &caller{fail: errors.New("reader unreachable")}
 	g.Expect(sw.confirm(context.Background(), loadshare.Member{}, Update{Version: 3}, no.boot.Now())).NotTo(Succeed())
 }
 
-// A reader hands on the version that it has; the store is not asked.
+// An instance fetches the configuration from the reader and not from the store.
 func TestReaderHandsOnTheConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	reader, no := newNode(), newNode()
@@ -213,11 +214,11 @@
 	}
 	g.Expect(sw.confirm(context.Background(), loadshare.Member{}, Update{Version: 3}, no.boot.Now())).To(Succeed())
 	g.Expect(no.state.Load().Version).To(Equal(int64(3)))
-	_, proven := no.state.Age()
-	g.Expect(proven).To(BeTrue())
+	_, confirmed := no.state.Age()
+	g.Expect(confirmed).To(BeTrue())
 }
 
-// caller lets a switch talk to a reader's log, or fail.
+// caller is a peer.Caller that passes calls to a reader's log, or fails them.
 type caller struct {
 	mu   sync.Mutex
 	log  *Log
@@ -247,16 +248,16 @@
 	return nil
 }
 
-// counting is a controller that counts its starts.
-type counting struct {
+// countingController is a controller that counts its starts.
+type countingController struct {
 	mu     sync.Mutex
 	starts int
 	begin  func()
 }
 
-func (*counting) Name() string { return "store" }
+func (*countingController) Name() string { return "store" }
 
-func (co *counting) Run(ctx context.Context) error {
+func (co *countingController) Run(ctx context.Context) error {
 	co.mu.Lock()
 	co.starts++
 	co.mu.Unlock()
@@ -267,7 +268,7 @@
 	return nil
 }
 
-func (co *counting) count() int {
+func (co *countingController) count() int {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	return co.starts
@@ -283,8 +284,8 @@
 	reader.log.SetDirect(true)
 	members := &loadshare.Members{}
 	members.Set([]loadshare.Member{{Name: "self", Zone: "a", Link: 1}, {Name: "reader", Zone: "a", Link: 2}})
-	configuration := &counting{begin: func() { no.state.Confirm(no.boot.Now()) }}
-	others := &counting{}
+	configuration := &countingController{begin: func() { no.state.Confirm(no.boot.Now()) }}
+	others := &countingController{}
 	ca := &caller{log: &reader.log}
 	sw := &Switch{
 		Log: &no.log, Caller: ca, Self: "self", Zone: "a", Members: members, Alive: func(string) bool { return true },
@@ -300,15 +301,15 @@
 	defer cancel()
 	go func() { _ = sw.Run(ctx) }()
 	g.Eventually(func() int { return len(no.roster.View().Ready("s")) }, "5s").Should(Equal(1))
-	g.Expect(configuration.count()).To(BeZero(), "nothing is read from the store while the reader tells")
-	ca.set(errors.New("gone"))
+	g.Expect(configuration.count()).To(BeZero(), "nothing is read from the store while the reader answers")
+	ca.set(errors.New("reader stopped"))
 	g.Eventually(others.count, "5s").Should(Equal(1))
 	g.Expect(configuration.count()).To(Equal(1))
 	g.Expect(no.ask(Query{}).Direct).To(BeTrue())
 }
 
-// An instance that the store turns away, while it answers a reader in another
-// zone, goes on with what that one knows (incident inc-c707).
+// An instance that the store rejects follows the reader of another zone whose
+// calls the store still answers (incident inc-c707).
 func TestSwitchAsksOtherZonesWhenTheStoreTurnsItAway(t *testing.T) {
 	g := NewWithT(t)
 	reader, no := newNode(), newNode()
@@ -318,14 +319,14 @@
 	reader.log.Contact(reader.boot.Now())
 	reader.log.SetDirect(true)
 	no.state.Put(routing.New(routing.Spec{Version: 1}))
-	no.state.Confirm(no.boot.Now() - awayAge - time.Second)
+	no.state.Confirm(no.boot.Now() - maxOwnConfirmationAge - time.Second)
 	members := &loadshare.Members{}
 	members.Set([]loadshare.Member{{Name: "self", Zone: "a"}, {Name: "reader", Zone: "b"}})
-	silent := &counting{}
+	unanswered := &countingController{}
 	sw := &Switch{
 		Log: &no.log, Caller: &caller{log: &reader.log}, Self: "self", Zone: "a", Members: members, Alive: func(string) bool { return true },
-		Configuration: silent, Roster: &no.roster, State: &no.state, Clock: clockwork.NewRealClock(), Boot: no.boot, Logger: zerolog.Nop(),
-		Fetch: func(context.Context) error { return errors.New("turned away") },
+		Configuration: unanswered, Roster: &no.roster, State: &no.state, Clock: clockwork.NewRealClock(), Boot: no.boot, Logger: zerolog.Nop(),
+		Fetch: func(context.Context) error { return errors.New("rejected by the store") },
 		Decode: func(source []byte) (*routing.Configuration, error) {
 			g.Expect(string(source)).To(Equal("version 2"))
 			return routing.New(routing.Spec{Version: 2, Source: source}), nil
@@ -335,13 +336,13 @@
 	defer cancel()
 	go func() { _ = sw.Run(ctx) }()
 	g.Eventually(func() int { return len(no.roster.View().Ready("s")) }, "8s").Should(Equal(1))
-	g.Eventually(func() time.Duration { age, _ := no.state.Age(); return age }, "5s").Should(BeNumerically("<", awayAge))
-	g.Expect(silent.count()).To(BeNumerically(">=", 1), "the store is tried first")
-	g.Expect(no.state.Load().Version).To(Equal(int64(2)), "with the configuration that the reader has")
+	g.Eventually(func() time.Duration { age, _ := no.state.Age(); return age }, "5s").Should(BeNumerically("<", maxOwnConfirmationAge))
+	g.Expect(unanswered.count()).To(BeNumerically(">=", 1), "the store is tried first")
+	g.Expect(no.state.Load().Version).To(Equal(int64(2)), "the reader's configuration is in force")
 }
 
-// A reader tells at once that the store does not answer it, and that it does
-// again.
+// A reader reports at once that the store stopped answering it, and that it
+// answers again.
 func TestLogTellsOfSilence(t *testing.T) {
 	g := NewWithT(t)
 	no := newNode()
@@ -349,9 +350,9 @@
 	up := no.ask(Query{})
 	g.Expect(up.Silent).To(BeFalse())
 	no.roster.Trouble(errors.New("down"))
-	silent := no.ask(Query{Epoch: up.Epoch, Sequence: up.Sequence, Wait: time.Hour})
-	g.Expect(silent.Silent).To(BeTrue())
-	g.Expect(silent.Endpoints).To(BeEmpty())
+	unanswered := no.ask(Query{Epoch: up.Epoch, Sequence: up.Sequence, Wait: time.Hour})
+	g.Expect(unanswered.Silent).To(BeTrue())
+	g.Expect(unanswered.Endpoints).To(BeEmpty())
 	no.roster.Contact(0)
-	g.Expect(no.ask(Query{Epoch: silent.Epoch, Sequence: silent.Sequence, Wait: time.Hour}).Silent).To(BeFalse())
+	g.Expect(no.ask(Query{Epoch: unanswered.Epoch, Sequence: unanswered.Sequence, Wait: time.Hour}).Silent).To(BeFalse())
 }
--- a/internal/relay/switch.go
+++ b/internal/relay/switch.go
@@ -20,47 +20,51 @@
 )
 
 const (
-	// watchWait is how long a call waits at a reader.
+	// watchWait is how long a reader may hold a call open for a change.
 	watchWait = time.Second
-	// answerTime is how much longer the answer may take.
-	answerTime = 700 * time.Millisecond
-	// directTime is how long an instance reads the store after its reader failed.
-	directTime = 5 * time.Second
-	// lookInterval is how often the choice of a reader is looked at.
-	lookInterval = time.Second
-	// startTime is how long an instance takes all others for alive.
-	startTime = 6 * time.Second
-	// maxConfigurationAge and maxEndpointsAge are what a reader may state: beyond,
-	// it knows no more than the store will tell.
+	// responseMargin is the time beyond watchWait that a call may take.
+	responseMargin = 700 * time.Millisecond
+	// directReadTime is the minimum time for which an instance reads the store
+	// itself after its reader failed.
+	directReadTime = 5 * time.Second
+	// readerCheckInterval is the interval at which the choice of the reader is
+	// checked.
+	readerCheckInterval = time.Second
+	// startupPeriod is how long after its own start an instance considers all
+	// others alive.
+	startupPeriod = 6 * time.Second
+	// maxConfigurationAge and maxEndpointsAge are the largest ages in an update
+	// of a reader worth following. Beyond them the store itself is the better
+	// source.
 	maxConfigurationAge = 2500 * time.Millisecond
-	// maxEndpointsAge is over twice the time that one call about endpoints waits:
-	// in calm times the last answer is that old.
+	// maxEndpointsAge is over twice the time that one call about endpoints
+	// waits, because without changes the last answer is up to one wait old.
 	maxEndpointsAge = 8 * time.Second
-	// awayAge is the age of its own proof from which an instance asks readers of
-	// other zones, and abroadTime how long it stays with them before it tries the
-	// store again.
-	awayAge    = 2200 * time.Millisecond
-	abroadTime = 4 * time.Second
+	// maxOwnConfirmationAge is the age of the store's last confirmation beyond
+	// which an instance follows readers of other zones, and otherZonesTime is
+	// how long it does so before it tries the store again.
+	maxOwnConfirmationAge = 2200 * time.Millisecond
+	otherZonesTime        = 4 * time.Second
 )
 
-// Switch reads the store through a reader where there is one, and directly
-// elsewhere. Set the fields before Run.
+// Switch follows the reader of its zone if there is one, and reads the store
+// directly otherwise. Set the exported fields before Run.
 type Switch struct {
 	Log    *Log
 	Caller peer.Caller
-	// Self and Zone are those of this instance.
+	// Self and Zone are the name and the zone of this instance.
 	Self    string
 	Zone    string
 	Members *loadshare.Members
-	// Alive tells whether another instance was heard lately.
+	// Alive reports whether another instance was seen recently.
 	Alive func(name string) bool
-	// Configuration and Others are the controllers that follow the store; Others
-	// start when the store has answered Configuration.
+	// Configuration and Others are the controllers that follow the store.
+	// Others start once the store has answered Configuration.
 	Configuration controller.Controller
 	Others        []controller.Controller
 	// Fetch reads the configuration from the store.
 	Fetch func(ctx context.Context) error
-	// Decode reads a configuration that a reader handed on.
+	// Decode decodes a configuration that a reader sent.
 	Decode func(source []byte) (*routing.Configuration, error)
 	Roster *roster.Roster
 	State  *routing.State
@@ -69,13 +73,14 @@
 	Logger zerolog.Logger
 
 	started time.Time
-	// silent tells that the reader that is followed gets no answers.
-	silent atomic.Bool
+	// readerStoreSilent is set while the followed reader gets no answers from
+	// the store.
+	readerStoreSilent atomic.Bool
 }
 
-// Silent tells whether the reader that this instance follows gets no answers
+// Silent reports whether the reader that this instance follows gets no answers
 // from the store.
-func (sw *Switch) Silent() bool { return sw.silent.Load() }
+func (sw *Switch) Silent() bool { return sw.readerStoreSilent.Load() }
 
 // Name implements controller.Controller.
 func (sw *Switch) Name() string { return "relay" }
@@ -83,7 +88,7 @@
 // Run implements controller.Controller.
 func (sw *Switch) Run(ctx context.Context) error {
 	sw.started = sw.Clock.Now()
-	pause.For(ctx, sw.Clock, lookInterval/4)
+	pause.For(ctx, sw.Clock, readerCheckInterval/4)
 	for ctx.Err() == nil {
 		me, found := sw.reader()
 		if found {
@@ -91,56 +96,63 @@
 			if ctx.Err() != nil {
 				break
 			}
-			if sw.starting() && isIgnorant(err) {
-				pause.For(ctx, sw.Clock, lookInterval/4)
+			if sw.starting() && isReaderNotReady(err) {
+				pause.For(ctx, sw.Clock, readerCheckInterval/4)
 				continue
 			}
-			sw.Logger.Info().Str("event", "reader_left").Str("reader", me.Name).Err(err).Msg("relay: reading the store directly")
+			sw.Logger.Info().Str("event", "reader_left").Str("reader", me.Name).Err(err).Msg("relay: stopped following the reader; reading the store directly")
 		}
-		sw.direct(ctx, directTime)
-		if sw.turnedAway() {
-			sw.abroad(ctx)
+		sw.readDirectly(ctx, directReadTime)
+		if sw.storeUnavailable() {
+			sw.followOtherZones(ctx)
 		}
 	}
 	return nil
 }
 
-// turnedAway tells whether the store has not answered this instance for a time.
-func (sw *Switch) turnedAway() bool {
-	age, proven := sw.State.Age()
-	return proven && age > awayAge
+// storeUnavailable reports whether the store's last confirmation is older than
+// maxOwnConfirmationAge.
+func (sw *Switch) storeUnavailable() bool {
+	age, confirmed := sw.State.Age()
+	return confirmed && age > maxOwnConfirmationAge
 }
 
-// abroad follows readers of other zones for a time: the store may turn this
-// instance away and answer others. They know no more if it answers nobody.
-func (sw *Switch) abroad(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, abroadTime)
+// followOtherZones follows the readers of other zones, one after the other, for
+// up to otherZonesTime. The store may reject this instance and still answer
+// others. If it answers none of them, their updates are too old to be followed.
+func (sw *Switch) followOtherZones(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, otherZonesTime)
 	defer cancel()
 	for _, me := range readersOf(sw.Members.List(), sw.Self, sw.Zone, sw.Alive) {
 		if ctx.Err() != nil {
 			return
 		}
 		err := sw.follow(ctx, me, false)
-		sw.Logger.Info().Str("event", "reader_left").Str("reader", me.Name).Bool("abroad", true).Err(err).Msg("relay: reading the store directly")
+		sw.Logger.Info().Str("event", "reader_left").Str("reader", me.Name).Bool("abroad", true).Err(err).Msg("relay: stopped following the reader of another zone")
 	}
 }
 
-// starting tells whether all instances may be starting together.
-func (sw *Switch) starting() bool { return sw.Clock.Since(sw.started) < startTime }
+// starting reports whether this instance started recently, so that all
+// instances may be starting at once.
+func (sw *Switch) starting() bool { return sw.Clock.Since(sw.started) < startupPeriod }
 
-// isIgnorant tells whether a reader answered that it does not know enough.
-func isIgnorant(err error) bool { return errors.Is(err, errOld) || errors.Is(err, errNotDirect) }
+// isReaderNotReady reports whether a reader answered but is not worth following
+// yet.
+func isReaderNotReady(err error) bool {
+	return errors.Is(err, errStale) || errors.Is(err, errNotDirect)
+}
 
-// reader returns the reader of the zone, or false if that is this instance.
+// reader returns the reader of the zone, and false if there is none or it is
+// this instance.
 func (sw *Switch) reader() (loadshare.Member, bool) {
 	starting := sw.starting()
 	me, found := readerOf(sw.Members.List(), sw.Self, sw.Zone, func(name string) bool { return starting || sw.Alive(name) })
 	return me, found && me.Name != sw.Self
 }
 
-// direct follows the store until there is a reader, for least at least, or
-// until the store has not answered for a time.
-func (sw *Switch) direct(ctx context.Context, least time.Duration) {
+// readDirectly follows the store for at least minTime and until there is a
+// reader. It returns earlier if the store is unavailable.
+func (sw *Switch) readDirectly(ctx context.Context, minTime time.Duration) {
 	sw.Log.SetDirect(true)
 	defer sw.Log.SetDirect(false)
 	ctx, cancel := context.WithCancel(ctx)
@@ -150,16 +162,16 @@
 		defer close(done)
 		gr := controller.Group{Controllers: append([]controller.Controller{sw.Configuration}, sw.delayed()...)}
 		if err := gr.Run(ctx); err != nil {
-			sw.Logger.Error().Str("event", "store_not_followed").Err(err).Msg("relay: following the store ended")
+			sw.Logger.Error().Str("event", "store_not_followed").Err(err).Msg("relay: controllers that follow the store stopped with an error")
 		}
 	}()
 	begun := sw.Clock.Now()
 	for ctx.Err() == nil {
-		pause.For(ctx, sw.Clock, lookInterval)
-		if sw.turnedAway() && sw.Clock.Since(begun) >= lookInterval {
+		pause.For(ctx, sw.Clock, readerCheckInterval)
+		if sw.storeUnavailable() && sw.Clock.Since(begun) >= readerCheckInterval {
 			break
 		}
-		if _, found := sw.reader(); found && sw.Clock.Since(begun) >= least {
+		if _, found := sw.reader(); found && sw.Clock.Since(begun) >= minTime {
 			break
 		}
 	}
@@ -168,33 +180,34 @@
 }
 
 // delayed wraps the other controllers so that they start once the store has
-// confirmed the configuration: while it is away, one call asks for it.
+// confirmed the configuration. During an outage of the store only one
+// controller calls it.
 func (sw *Switch) delayed() []controller.Controller {
 	begun := sw.Boot.Now()
 	list := make([]controller.Controller, 0, len(sw.Others))
 	for _, co := range sw.Others {
 		list = append(list, &delayed{Controller: co, ready: func() bool {
-			age, proven := sw.State.Age()
-			return proven && sw.Boot.Now()-age >= begun
+			age, confirmed := sw.State.Age()
+			return confirmed && sw.Boot.Now()-age >= begun
 		}, sw: sw})
 	}
 	return list
 }
 
-// delayed starts a controller when something is ready.
+// delayed is a controller that starts once ready returns true.
 type delayed struct {
 	controller.Controller
 	ready func() bool
 	sw    *Switch
 }
 
-// delayInterval is how often it is looked whether a controller may start.
-const delayInterval = 20 * time.Millisecond
+// readyPollInterval is the interval at which delayed calls ready.
+const readyPollInterval = 20 * time.Millisecond
 
 // Run implements controller.Controller.
 func (de *delayed) Run(ctx context.Context) error {
 	for !de.ready() {
-		pause.For(ctx, de.sw.Clock, delayInterval)
+		pause.For(ctx, de.sw.Clock, readyPollInterval)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -203,15 +216,16 @@
 }
 
 var (
-	errNotDirect = errors.New("relay: the reader does not read the store")
-	errOld       = errors.New("relay: the reader's knowledge is old")
-	errReplaced  = errors.New("relay: another instance reads for the zone")
+	errNotDirect     = errors.New("relay: the reader does not read the store")
+	errStale         = errors.New("relay: the reader's state is too old")
+	errReaderChanged = errors.New("relay: another instance is now the reader of the zone")
 )
 
-// follow takes in what a reader knows until it fails. With own it is the reader
-// of this zone, and is left for another that should be.
+// follow applies the updates of a reader until one fails. If own is set, me is
+// the reader of this zone, and follow ends when another instance becomes the
+// reader.
 func (sw *Switch) follow(ctx context.Context, me loadshare.Member, own bool) error {
-	defer sw.silent.Store(false)
+	defer sw.readerStoreSilent.Store(false)
 	sw.Logger.Info().Str("event", "reader_followed").Str("reader", me.Name).Msg("relay: following a reader")
 	var qu Query
 	for ctx.Err() == nil {
@@ -221,41 +235,42 @@
 		if err := sw.call(ctx, me, qu, &up); err != nil {
 			return err
 		}
-		if err := judge(up); err != nil {
+		if err := checkUpdate(up); err != nil {
 			return err
 		}
-		sw.silent.Store(up.Silent)
+		sw.readerStoreSilent.Store(up.Silent)
 		sw.apply(up)
 		if err := sw.confirm(ctx, me, up, begun); err != nil {
 			return err
 		}
 		qu.Epoch, qu.Sequence = up.Epoch, up.Sequence
 		if other, found := sw.reader(); own && (!found || other.Name != me.Name) {
-			return errReplaced
+			return errReaderChanged
 		}
 	}
 	return ctx.Err()
 }
 
 func (sw *Switch) call(ctx context.Context, me loadshare.Member, qu Query, up *Update) error {
-	ctx, cancel := context.WithTimeout(ctx, watchWait+answerTime)
+	ctx, cancel := context.WithTimeout(ctx, watchWait+responseMargin)
 	defer cancel()
 	return sw.Caller.Call(ctx, me.Address.String(), ServiceName+".Watch", qu, up)
 }
 
-// judge tells whether an update is worth following.
-func judge(up Update) error {
+// checkUpdate returns an error if the sender of an update is not worth
+// following.
+func checkUpdate(up Update) error {
 	switch {
 	case !up.Direct:
 		return errNotDirect
 	case up.ConfigurationAge > maxConfigurationAge || up.EndpointsAge > maxEndpointsAge:
-		return errOld
+		return errStale
 	default:
 		return nil
 	}
 }
 
-// apply brings an update into force.
+// apply passes an update to the roster.
 func (sw *Switch) apply(up Update) {
 	if up.Full {
 		list := make([]feed.Object[roster.Endpoint], 0, len(up.Endpoints))
@@ -276,32 +291,33 @@
 	sw.Roster.Evacuate(up.Zones)
 }
 
-// confirm takes over the reader's proof, once this instance has the version
-// that it speaks of. The proof is as old as the reader said when it answered,
-// which was no sooner than the call's begin and the time that it held the call.
+// confirm applies the reader's confirmation, once this instance has the version
+// that it refers to. The reader answered no earlier than begun plus the time
+// that it held the call, and the confirmation had the reported age at that
+// moment.
 func (sw *Switch) confirm(ctx context.Context, me loadshare.Member, up Update, begun time.Duration) error {
-	if !sw.has(up.Version) {
-		if err := sw.catchUp(ctx, me); err != nil {
+	if !sw.hasVersion(up.Version) {
+		if err := sw.fetchConfiguration(ctx, me); err != nil {
 			return err
 		}
 	}
-	if sw.has(up.Version) {
+	if sw.hasVersion(up.Version) {
 		sw.State.Confirm(begun + up.Held - up.ConfigurationAge)
 	}
 	return nil
 }
 
-// has tells whether a version or a newer one is in force.
-func (sw *Switch) has(version int64) bool {
+// hasVersion reports whether this version or a newer one is in force.
+func (sw *Switch) hasVersion(version int64) bool {
 	cf := sw.State.Load()
 	return cf != nil && cf.Version >= version
 }
 
-// catchUp gets the version that a reader has, from the reader itself: with many
-// instances, each reading each version from the store is most of its load. The
-// store is asked where the reader can't hand it on.
-func (sw *Switch) catchUp(ctx context.Context, me loadshare.Member) error {
-	err := sw.handedOn(ctx, me)
+// fetchConfiguration fetches the configuration from the reader, and from the
+// store only if that fails. With many instances, most of the store's load would
+// come from each of them reading each version.
+func (sw *Switch) fetchConfiguration(ctx context.Context, me loadshare.Member) error {
+	err := sw.fetchFromReader(ctx, me)
 	if err == nil {
 		return nil
 	}
@@ -311,9 +327,10 @@
 	return nil
 }
 
-// handedOn takes the configuration from a reader.
-func (sw *Switch) handedOn(ctx context.Context, me loadshare.Member) error {
-	ctx, cancel := context.WithTimeout(ctx, watchWait+answerTime)
+// fetchFromReader fetches the configuration from a reader and brings it into
+// force if it is newer.
+func (sw *Switch) fetchFromReader(ctx context.Context, me loadshare.Member) error {
+	ctx, cancel := context.WithTimeout(ctx, watchWait+responseMargin)
 	defer cancel()
 	var te Text
 	if err := sw.Caller.Call(ctx, me.Address.String(), ServiceName+".Configuration", None{}, &te); err != nil {
@@ -324,7 +341,7 @@
 		return err
 	}
 	if sw.State.Put(cf) {
-		sw.Logger.Info().Str("event", "configuration").Int64("version", cf.Version).Str("reader", me.Name).Msg("relay: configuration in force, from a reader")
+		sw.Logger.Info().Str("event", "configuration").Int64("version", cf.Version).Str("reader", me.Name).Msg("relay: applied a configuration received from a reader")
 		sw.Log.Observe()
 	}
 	return nil
