--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,8 @@
-// Package peer carries calls between entry instances over net/rpc.
+// Package peer makes calls between entry instances over net/rpc.
 //
-// net/rpc has no deadlines; Client gives each call one and drops a connection
-// whose call ran into it, since the other end may have gone silent.
+// net/rpc has no deadlines. Client sets one for each call and closes a
+// connection on which a call timed out, because the other side may not answer
+// any more.
 //
 // # Usage
 //
@@ -24,20 +25,21 @@
 	"time"
 )
 
-// CallTimeout bounds a call whose context has no deadline.
+// CallTimeout is the longest time that a call may take. The context of a call
+// can set an earlier deadline.
 const CallTimeout = 2 * time.Second
 
-// dialTimeout bounds a connection attempt.
+// dialTimeout is the longest time that a connection attempt may take.
 const dialTimeout = 500 * time.Millisecond
 
-// ErrorKind says what a failed call means.
+// ErrorKind tells how far a failed call got.
 type ErrorKind string
 
 // The kinds of error that this package reports.
 const (
-	// Unreachable means that no connection was made; the call was not sent.
+	// Unreachable means that there was no connection. The call was not sent.
 	Unreachable ErrorKind = "unreachable"
-	// Lost means that the call was sent and no answer came.
+	// Lost means that the call was sent and not answered. It may have run.
 	Lost ErrorKind = "lost"
 	// Remote means that the other instance answered with an error.
 	Remote ErrorKind = "remote"
@@ -45,7 +47,7 @@
 
 // Error is the error type of this package.
 type Error struct {
-	// Op is the called method.
+	// Op is the called method, or "accept" for an error of Server.Run.
 	Op   string
 	Peer string
 	Kind ErrorKind
@@ -57,22 +59,23 @@
 	return fmt.Sprintf("peer: %s at %s: %s: %v", er.Op, er.Peer, er.Kind, er.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (er *Error) Unwrap() error { return er.Err }
 
-// IsKind tells whether err is a peer error of that kind.
+// IsKind reports whether err is an Error of this kind.
 func IsKind(err error, ki ErrorKind) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Kind == ki
 }
 
-// Caller makes calls to other instances. Tests replace it.
+// Caller makes calls to other instances. Client implements it, and peerfake in
+// tests.
 type Caller interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Client is the Caller over TCP. Set the fields before the first call. It is
-// safe for concurrent use and keeps one connection per address.
+// Client is the Caller over TCP. It keeps one connection per address. Set the
+// exported fields before the first call. It is safe for concurrent use.
 type Client struct {
 	// TLS is the configuration for mutual TLS; nil means plain TCP.
 	TLS *tls.Config
@@ -92,14 +95,14 @@
 	done := rc.Go(method, args, reply, make(chan *rpc.Call, 1)).Done
 	select {
 	case ca := <-done:
-		return cl.finish(address, method, rc, ca.Error)
+		return cl.handleResult(address, method, rc, ca.Error)
 	case <-ctx.Done():
 		cl.drop(address, rc)
 		return &Error{Op: method, Peer: address, Kind: Lost, Err: ctx.Err()}
 	}
 }
 
-func (cl *Client) finish(address, method string, rc *rpc.Client, err error) error {
+func (cl *Client) handleResult(address, method string, rc *rpc.Client, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -154,9 +157,9 @@
 	_ = rc.Close()
 }
 
-// Server answers the calls of other instances. Set Listener before Run.
+// Server serves the calls of other instances. Set Listener before Run.
 type Server struct {
-	// Listener accepts connections; a TLS listener for mutual TLS.
+	// Listener accepts the connections. For mutual TLS it is a TLS listener.
 	Listener net.Listener
 
 	rpc rpc.Server
--- a/internal/peer/peerfake/net.go
+++ b/internal/peer/peerfake/net.go
@@ -1,13 +1,13 @@
-// Package peerfake joins instances by an in-memory transport with the delays,
-// partitions and losses of a real one. It counts messages and the bytes that
-// net/rpc's own encoding takes.
+// Package peerfake provides an in-memory transport between instances that
+// simulates delays, network partitions and lost calls. It counts messages and
+// their size in the gob encoding of net/rpc.
 //
 // # Usage
 //
 //	ne := peerfake.New(clock)
 //	ne.Listen("10.0.0.1:7100", "zilina-a", map[string]any{"Member": service})
 //	ca := ne.Caller("10.0.0.1:7100") // a peer.Caller
-//	ne.Cut("zilina-a", true)         // calls over the zone's border get no answer
+//	ne.Cut("zilina-a", true)         // calls between this and other zones get no answer
 package peerfake
 
 import (
@@ -27,9 +27,10 @@
 	"filbertstall.example/filbertstall/internal/peer"
 )
 
-// Net is an in-memory transport. It is safe for concurrent use.
+// Net is an in-memory transport. Set the exported fields before the first call.
+// It is safe for concurrent use.
 type Net struct {
-	// Near and Far are the one-way delays inside a zone and between zones.
+	// Near and Far are the one-way delays within a zone and between zones.
 	Near, Far time.Duration
 
 	clock clockwork.Clock
@@ -37,8 +38,8 @@
 	mu       sync.Mutex
 	hosts    map[string]*host
 	links    map[[2]string]*link
-	cut      map[string]bool
-	loss     float64
+	isolated map[string]bool
+	lossRate float64
 	random   *rand.Rand
 	messages int
 	bytes    int
@@ -51,8 +52,8 @@
 	services map[string]any
 }
 
-// link carries one direction between two hosts through gob, like a connection
-// of net/rpc, so that type descriptions are sent once.
+// link encodes and decodes the messages of one direction between two hosts with
+// gob. Like a connection of net/rpc it transmits type descriptions only once.
 type link struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -62,10 +63,10 @@
 
 // New returns a transport without hosts.
 func New(clock clockwork.Clock) *Net {
-	return &Net{clock: clock, hosts: make(map[string]*host), links: make(map[[2]string]*link), cut: make(map[string]bool)}
+	return &Net{clock: clock, hosts: make(map[string]*host), links: make(map[[2]string]*link), isolated: make(map[string]bool)}
 }
 
-// Listen makes services reachable at an address.
+// Listen adds a host whose services are reachable at an address.
 func (ne *Net) Listen(address, zone string, services map[string]any) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -79,21 +80,22 @@
 	ne.hosts[address].up = false
 }
 
-// Cut cuts a zone off from the others, or joins it again.
-func (ne *Net) Cut(zone string, cut bool) {
+// Cut isolates a zone from all others, or ends its isolation.
+func (ne *Net) Cut(zone string, isolated bool) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	ne.cut[zone] = cut
+	ne.isolated[zone] = isolated
 }
 
-// Lose makes a share of the calls go without an answer, at random.
-func (ne *Net) Lose(share float64, random *rand.Rand) {
+// Lose drops calls at random. The rate is between 0 and 1; a dropped call gets
+// no answer.
+func (ne *Net) Lose(lossRate float64, random *rand.Rand) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	ne.loss, ne.random = share, random
+	ne.lossRate, ne.random = lossRate, random
 }
 
-// Traffic returns the messages and bytes sent so far by all hosts together.
+// Traffic returns the number of messages and bytes that all hosts have sent.
 func (ne *Net) Traffic() (messages, bytes int) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -108,8 +110,8 @@
 	address string
 }
 
-// errSilent stands for a link on which nothing arrives.
-var errSilent = errors.New("fake: no answer")
+// errNoAnswer is the cause of calls that get no answer.
+var errNoAnswer = errors.New("fake: no answer")
 
 // Call implements peer.Caller.
 func (ca caller) Call(ctx context.Context, address, method string, args, reply any) error {
@@ -117,20 +119,20 @@
 	defer cancel()
 	to, delay, open := ca.net.route(ca.address, address)
 	if to == nil {
-		return &peer.Error{Op: method, Peer: address, Kind: peer.Unreachable, Err: errSilent}
+		return &peer.Error{Op: method, Peer: address, Kind: peer.Unreachable, Err: errNoAnswer}
 	}
-	lost := &peer.Error{Op: method, Peer: address, Kind: peer.Lost, Err: errSilent}
+	lost := &peer.Error{Op: method, Peer: address, Kind: peer.Lost, Err: errNoAnswer}
 	if !open {
 		<-ctx.Done()
 		return lost
 	}
-	fn, argType, err := find(to.services, method)
+	fn, argType, err := findMethod(to.services, method)
 	if err != nil {
 		return &peer.Error{Op: method, Peer: address, Kind: peer.Remote, Err: err}
 	}
 	in := reflect.New(argType)
 	ca.net.send(ca.address, address, &rpc.Request{ServiceMethod: method}, args, in.Interface())
-	if !ca.pause(ctx, delay) {
+	if !ca.wait(ctx, delay) {
 		return lost
 	}
 	out := reflect.New(reflect.TypeOf(reply).Elem())
@@ -139,13 +141,13 @@
 		return &peer.Error{Op: method, Peer: address, Kind: peer.Remote, Err: failure}
 	}
 	ca.net.send(address, ca.address, &rpc.Response{ServiceMethod: method}, out.Interface(), reply)
-	if !ca.pause(ctx, delay) || !ca.net.up(ca.address, address) {
+	if !ca.wait(ctx, delay) || !ca.net.up(ca.address, address) {
 		return lost
 	}
 	return nil
 }
 
-func (ca caller) pause(ctx context.Context, delay time.Duration) bool {
+func (ca caller) wait(ctx context.Context, delay time.Duration) bool {
 	if delay <= 0 {
 		return ctx.Err() == nil
 	}
@@ -157,8 +159,8 @@
 	}
 }
 
-// route returns the host at an address, the delay to it, and whether the call
-// gets an answer.
+// route returns the host at an address, the one-way delay to it, and whether a
+// call reaches it. The host is nil if either side is not running.
 func (ne *Net) route(from, to string) (*host, time.Duration, bool) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -171,9 +173,9 @@
 	if source.zone == target.zone {
 		delay = ne.Near
 	}
-	severed := source.zone != target.zone && (ne.cut[source.zone] || ne.cut[target.zone])
-	unlucky := ne.loss > 0 && ne.random.Float64() < ne.loss
-	return target, delay, !severed && !unlucky
+	partitioned := source.zone != target.zone && (ne.isolated[source.zone] || ne.isolated[target.zone])
+	dropped := ne.lossRate > 0 && ne.random.Float64() < ne.lossRate
+	return target, delay, !partitioned && !dropped
 }
 
 func (ne *Net) up(addresses ...string) bool {
@@ -187,7 +189,7 @@
 	return true
 }
 
-func find(services map[string]any, method string) (fn reflect.Value, args reflect.Type, err error) {
+func findMethod(services map[string]any, method string) (fn reflect.Value, args reflect.Type, err error) {
 	service, name, _ := strings.Cut(method, ".")
 	fn = reflect.ValueOf(services[service])
 	if fn.IsValid() {
@@ -199,15 +201,16 @@
 	return fn, fn.Type().In(0), nil
 }
 
-// send carries a header and a value over the link and counts them.
+// send encodes a header and a value on the link, decodes the value into another
+// one, and counts both as one message.
 func (ne *Net) send(from, to string, header, value, into any) {
 	li := ne.link(from, to)
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	failures := errors.Join(li.enc.Encode(header), li.enc.Encode(value))
 	size := li.buf.Len()
-	skipped := reflect.New(reflect.TypeOf(header).Elem()).Interface()
-	failures = errors.Join(failures, li.dec.Decode(skipped), li.dec.Decode(into))
+	headerCopy := reflect.New(reflect.TypeOf(header).Elem()).Interface()
+	failures = errors.Join(failures, li.dec.Decode(headerCopy), li.dec.Decode(into))
 	if failures != nil {
 		panic(failures)
 	}
