--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -13,23 +13,25 @@
 )
 
 const (
-	// Term is how long a write gives ownership.
+	// Term is how long a successful write grants the lease.
 	Term = 6 * time.Second
-	// Margin is kept on both sides of the term for clocks that run at
-	// different rates and for work between a check and its effect.
+	// Margin is subtracted from the term by the holder and added by contenders.
+	// It covers clocks that run at different rates and the time between a check
+	// of Held and the effect of the action.
 	Margin = 500 * time.Millisecond
-	// RenewInterval is how often a holder writes.
+	// RenewInterval is the interval at which the holder renews the lease.
 	RenewInterval = 2 * time.Second
 )
 
-// Lease is one instance's side of a lease. Set the fields before the first
-// call. It is safe for concurrent use; Step and Act are called by one
-// goroutine.
+// Lease is one instance's handle on a lease. Set the exported fields before the
+// first call. It is safe for concurrent use, except that only one goroutine may
+// call Step and Act.
 type Lease struct {
 	Store platform.Store
 	Clock clockwork.Clock
 	Key   string
-	// Holder is this instance's name, unique for each process.
+	// Holder is the name under which this instance holds the lease. It must be
+	// unique for each process, including restarts.
 	Holder string
 	// Address is this instance's peer address.
 	Address string
@@ -38,17 +40,18 @@
 	stored   Record
 	version  int64
 	seenAt   time.Time
-	known    bool
-	top      int64
+	observed bool
+	maxEpoch int64
 	heldAt   time.Time
 	holding  bool
 	released bool
-	// pending is a write whose fate is open, sent at pendingAt.
+	// pending is a write, sent at pendingAt, that may or may not have taken
+	// effect.
 	pending   Record
 	pendingAt time.Time
 }
 
-// Held returns the epoch if this instance owns the lease at this moment.
+// Held returns the epoch and true if this instance holds the lease now.
 func (le *Lease) Held() (epoch int64, ok bool) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
@@ -58,20 +61,22 @@
 	return le.stored.Epoch, true
 }
 
-// Current returns the last seen record, which may have lapsed.
+// Current returns the last observed record, whose term may have expired, and
+// false if there is none or it was released.
 func (le *Lease) Current() (Record, bool) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	return le.stored, le.known && !le.stored.Released()
+	return le.stored, le.observed && !le.stored.Released()
 }
 
-// elapsed returns the longer of the monotonic and the wall time, since the
-// monotonic clock stands still while a machine is suspended.
+// elapsed returns the longer of the monotonic and the wall-clock duration,
+// because the monotonic clock stops while a machine is suspended.
 func elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
 
-// Step reads the lease and then takes or renews it where that is due.
+// Step reads the stored record, and then takes or renews the lease if that is
+// due.
 func (le *Lease) Step(ctx context.Context) error {
 	ob, err := le.Store.Get(ctx, le.Key)
 	if err != nil && !platform.IsKind(err, platform.NotFound) {
@@ -83,7 +88,7 @@
 	return le.Act(ctx)
 }
 
-// Observe takes in the stored object; its version is zero if there is none.
+// Observe records the stored object, whose version is zero if there is none.
 func (le *Lease) Observe(ob platform.Object) error {
 	var re Record
 	if ob.Version != 0 {
@@ -93,17 +98,17 @@
 	}
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	if le.known && ob.Version == le.version {
+	if le.observed && ob.Version == le.version {
 		return nil
 	}
-	le.adopt(re, ob.Version, le.Clock.Now())
+	le.setStored(re, ob.Version, le.Clock.Now())
 	return nil
 }
 
-// adopt replaces the seen record. A record that this instance did not write
-// ends its ownership; one that it wrote without learning of it begins or
-// prolongs it.
-func (le *Lease) adopt(re Record, version int64, at time.Time) {
+// setStored replaces the observed record. A record that this instance did not
+// write ends its hold on the lease. A pending write of its own, whose success
+// was not known, starts or extends it. The caller holds mu.
+func (le *Lease) setStored(re Record, version int64, at time.Time) {
 	switch {
 	case version != 0 && re == le.pending:
 		le.heldAt, le.holding = le.pendingAt, !le.released
@@ -111,11 +116,12 @@
 		le.holding = false
 	}
 	le.pending = Record{}
-	le.stored, le.version, le.seenAt, le.known = re, version, at, true
-	le.top = max(le.top, re.Epoch)
+	le.stored, le.version, le.seenAt, le.observed = re, version, at, true
+	le.maxEpoch = max(le.maxEpoch, re.Epoch)
 }
 
-// Act takes or renews the lease where that is due. It needs an Observe first.
+// Act takes or renews the lease if that is due. It does nothing before the first
+// Observe.
 func (le *Lease) Act(ctx context.Context) error {
 	next, op := le.next()
 	if op == "" {
@@ -124,11 +130,12 @@
 	return le.write(ctx, op, next)
 }
 
-// next returns the write that is due now, with an empty op for none.
+// next returns the record to write now and the operation, which is empty if no
+// write is due.
 func (le *Lease) next() (next Record, op string) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	if !le.known || le.released {
+	if !le.observed || le.released {
 		return Record{}, ""
 	}
 	now := le.Clock.Now()
@@ -141,51 +148,54 @@
 		return next, "renew"
 	}
 	le.holding = false
-	if !le.free() && now.Sub(le.seenAt) < Term+Margin {
+	if !le.isFree() && now.Sub(le.seenAt) < Term+Margin {
 		return Record{}, ""
 	}
-	return Record{Holder: le.Holder, Address: le.Address, Epoch: le.top + 1, Sequence: 1}, "take"
+	return Record{Holder: le.Holder, Address: le.Address, Epoch: le.maxEpoch + 1, Sequence: 1}, "take"
 }
 
-// free tells whether nobody can act under the lease any more: it was given
-// back, or there never was one. An absent or older record where there was a
-// newer one comes from a deletion or a restored copy; its holder may live.
-func (le *Lease) free() bool {
+// isFree reports whether no instance can hold the lease: it was released, or no
+// record ever existed. A record that is absent or older than one observed before
+// results from a deletion or a restored backup, and the holder of the newer one
+// may still be running.
+func (le *Lease) isFree() bool {
 	if le.version == 0 {
-		return le.top == 0
+		return le.maxEpoch == 0
 	}
-	return le.stored.Released() && le.stored.Epoch == le.top
+	return le.stored.Released() && le.stored.Epoch == le.maxEpoch
 }
 
-// write stores next. Ownership counts from before the write was sent.
+// write stores next. The term starts before the write is sent, because the
+// write may take effect at any time after that.
 func (le *Lease) write(ctx context.Context, op string, next Record) error {
 	data, err := json.Marshal(next)
 	if err != nil {
 		return le.fail(op, Malformed, err)
 	}
 	le.mu.Lock()
-	previous, begun := le.version, le.Clock.Now()
-	le.pending, le.pendingAt = next, begun
+	previous, sentAt := le.version, le.Clock.Now()
+	le.pending, le.pendingAt = next, sentAt
 	le.mu.Unlock()
 	version, err := le.Store.Update(ctx, le.Key, previous, data)
 	if platform.IsKind(err, platform.Unknown) {
 		version, err = le.readBack(ctx, next, err)
 	}
 	if err != nil {
-		return le.refused(op, err)
+		return le.handleUpdateError(op, err)
 	}
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	if le.released {
 		return nil
 	}
-	le.stored, le.version, le.seenAt = next, version, begun
-	le.top = max(le.top, next.Epoch)
-	le.heldAt, le.holding, le.pending = begun, true, Record{}
+	le.stored, le.version, le.seenAt = next, version, sentAt
+	le.maxEpoch = max(le.maxEpoch, next.Epoch)
+	le.heldAt, le.holding, le.pending = sentAt, true, Record{}
 	return nil
 }
 
-// readBack finds out whether a write whose answer was lost took effect.
+// readBack reads the record to determine whether a write with a lost answer took
+// effect, and returns its version if it did.
 func (le *Lease) readBack(ctx context.Context, next Record, lost error) (int64, error) {
 	ob, err := le.Store.Get(ctx, le.Key)
 	if err != nil {
@@ -198,9 +208,10 @@
 	return ob.Version, nil
 }
 
-// refused ends ownership if another instance has written. After a lost answer
-// that could not be read back the next step reads again.
-func (le *Lease) refused(op string, err error) error {
+// handleUpdateError ends the hold on the lease if another instance has written.
+// If a lost answer could not be resolved by readBack, the pending write stays
+// and the next step reads the record again.
+func (le *Lease) handleUpdateError(op string, err error) error {
 	if !platform.IsKind(err, platform.Conflict) {
 		return le.fail(op, Unavailable, err)
 	}
@@ -210,8 +221,9 @@
 	return le.fail(op, Taken, err)
 }
 
-// Release gives the lease back, so that the next holder need not wait. The
-// caller acts no more under it. The lease is not taken again.
+// Release releases the lease, so that the next holder need not wait for the end
+// of the term. The caller must have stopped acting under the lease. This
+// instance does not take the lease again.
 func (le *Lease) Release(ctx context.Context) error {
 	le.mu.Lock()
 	held, version, next := le.holding, le.version, le.stored.WithRelease()
@@ -225,7 +237,7 @@
 		return le.fail("release", Malformed, err)
 	}
 	if _, err := le.Store.Update(ctx, le.Key, version, data); err != nil {
-		return le.refused("release", err)
+		return le.handleUpdateError("release", err)
 	}
 	return nil
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -26,48 +26,51 @@
 	instances = 3
 )
 
-// slowStore lets time pass around the effect of each update.
-type slowStore struct {
+// delayedStore advances the clocks before and after each update takes effect.
+type delayedStore struct {
 	*platformfake.Store
 	before, after func()
 }
 
-func (ss *slowStore) Update(ctx context.Context, key string, previous int64, value []byte) (int64, error) {
+func (ss *delayedStore) Update(ctx context.Context, key string, previous int64, value []byte) (int64, error) {
 	ss.before()
 	version, err := ss.Store.Update(ctx, key, previous, value)
 	ss.after()
 	return version, err
 }
 
-// contest is a group of instances with clocks that differ in offset and rate.
+// contest is a group of instances that compete for one lease. Their clocks
+// differ in offset and rate.
 type contest struct {
-	store  *platformfake.Store
-	clocks []*clockwork.FakeClock
-	leases []*lease.Lease
-	delay  time.Duration
-	top    int64
-	holder int
+	store    *platformfake.Store
+	clocks   []*clockwork.FakeClock
+	leases   []*lease.Lease
+	delay    time.Duration
+	maxEpoch int64
+	holder   int
 }
 
 func newContest() *contest {
 	co := &contest{store: platformfake.New(), holder: -1}
-	slow := &slowStore{Store: co.store, before: func() { co.advance(co.delay) }, after: func() { co.advance(co.delay) }}
+	delayed := &delayedStore{Store: co.store, before: func() { co.advance(co.delay) }, after: func() { co.advance(co.delay) }}
 	for ix := range instances {
 		clock := clockwork.NewFakeClockAt(time.Unix(int64(1_700_000_000+ix*3600), 0))
 		co.clocks = append(co.clocks, clock)
-		co.leases = append(co.leases, &lease.Lease{Store: slow, Clock: clock, Key: key, Holder: fmt.Sprintf("entry-%d", ix)})
+		co.leases = append(co.leases, &lease.Lease{Store: delayed, Clock: clock, Key: key, Holder: fmt.Sprintf("entry-%d", ix)})
 	}
 	return co
 }
 
-// advance moves time on; the clocks' rates differ by up to two per cent.
+// advance advances the clocks. Their rates differ by up to 2 % from the nominal
+// one.
 func (co *contest) advance(by time.Duration) {
 	for ix, clock := range co.clocks {
 		clock.Advance(by + by*time.Duration(ix-1)/50)
 	}
 }
 
-// check fails if two instances own the lease, or an epoch has two owners.
+// check fails if two instances hold the lease, if an epoch has two holders, or
+// if the epoch decreases.
 func (co *contest) check(t *rapid.T) {
 	holders := 0
 	for ix, le := range co.leases {
@@ -76,10 +79,10 @@
 			continue
 		}
 		holders++
-		if epoch < co.top || (epoch == co.top && ix != co.holder) {
-			t.Fatalf("instance %d holds epoch %d after instance %d held %d", ix, epoch, co.holder, co.top)
+		if epoch < co.maxEpoch || (epoch == co.maxEpoch && ix != co.holder) {
+			t.Fatalf("instance %d holds epoch %d after instance %d held %d", ix, epoch, co.holder, co.maxEpoch)
 		}
-		co.top, co.holder = epoch, ix
+		co.maxEpoch, co.holder = epoch, ix
 	}
 	if holders > 1 {
 		t.Fatalf("%d instances hold the lease", holders)
@@ -109,12 +112,12 @@
 			},
 			"": co.check,
 		})
-		co.recovers(t)
+		co.checkRecovery(t)
 	})
 }
 
-// recovers fails if a healthy platform does not lead to a holder.
-func (co *contest) recovers(t *rapid.T) {
+// checkRecovery fails if no instance holds the lease 15 s after the last fault.
+func (co *contest) checkRecovery(t *rapid.T) {
 	co.store.SetFault(platformfake.None)
 	co.delay = 0
 	for range 30 {
@@ -125,7 +128,7 @@
 		}
 	}
 	if _, held := co.leases[co.holder].Held(); !held {
-		t.Fatal("nobody holds the lease 15 s after the last fault")
+		t.Fatal("no instance holds the lease 15 s after the last fault")
 	}
 }
 
@@ -138,7 +141,7 @@
 	gm.Expect(co.leases[1].Step(t.Context())).To(Succeed())
 	co.advance(lease.Term + 2*lease.Margin)
 	_, held = co.leases[0].Held()
-	gm.Expect(held).To(BeFalse(), "the pause outlasted the term")
+	gm.Expect(held).To(BeFalse(), "the pause was longer than the term")
 	gm.Expect(co.leases[1].Step(t.Context())).To(Succeed())
 	second, held := co.leases[1].Held()
 	gm.Expect(held).To(BeTrue())
@@ -181,7 +184,7 @@
 	gm.Expect(co.store.Delete(t.Context(), key, ob.Version)).To(Succeed())
 	gm.Expect(co.leases[1].Step(t.Context())).To(Succeed())
 	_, held := co.leases[1].Held()
-	gm.Expect(held).To(BeFalse(), "the holder that knows nothing of the deletion may still act")
+	gm.Expect(held).To(BeFalse(), "a holder that has not observed the deletion may still act")
 	gm.Expect(co.leases[0].Observe(platform.Object{Key: key})).To(Succeed())
 	_, held = co.leases[0].Held()
 	gm.Expect(held).To(BeFalse())
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -7,27 +7,29 @@
 
 // Record is the stored form of a lease.
 type Record struct {
-	// Holder is the name of the holding instance; empty after a release.
+	// Holder is the name of the lease holder, empty after a release.
 	Holder string `json:"holder"`
 	// Address is the peer address of the holder.
 	Address string `json:"address"`
-	// Epoch rises with each holder.
+	// Epoch increases with each change of the holder. It is the fencing token.
 	Epoch int64 `json:"epoch"`
 	// Sequence counts the writes within an epoch.
 	Sequence int64 `json:"sequence"`
 }
 
-// Released tells whether the last holder gave the lease back.
+// Released reports whether the last holder released the lease.
 func (re Record) Released() bool { return re.Holder == "" }
 
-// WithRelease returns a copy without a holder.
+// WithRelease returns a copy that releases the lease, with the next sequence
+// number.
 func (re Record) WithRelease() Record {
 	re.Holder, re.Address = "", ""
 	re.Sequence++
 	return re
 }
 
-// UnmarshalJSON decodes and checks a record.
+// UnmarshalJSON implements json.Unmarshaler. It rejects an epoch or a sequence
+// below 1.
 func (re *Record) UnmarshalJSON(data []byte) error {
 	type plain Record
 	var pl plain
