--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -355,9 +355,9 @@
 // probes. Only the member itself reports its start time, so a zero one means
 // that there was no contact yet.
 func (en *entry) hasDirectContact(now time.Time) bool {
-	silent := en.missed >= suspectAfter && now.Sub(en.missedAt) < directContactWindow
+	unresponsive := en.missed >= suspectAfter && now.Sub(en.missedAt) < directContactWindow
 	recentlySeen := !en.Started.IsZero() && now.Sub(en.lastSeen) < directContactWindow
-	return silent || recentlySeen
+	return unresponsive || recentlySeen
 }
 
 // indirectState derives the state of a member of another zone that this
@@ -379,15 +379,15 @@
 }
 
 func (en *entry) state(now time.Time) State {
-	silent := en.missed >= suspectAfter
+	unresponsive := en.missed >= suspectAfter
 	unlisted := en.listed != platform.InstanceLive
-	silence := now.Sub(en.lastSeen)
+	unseenFor := now.Sub(en.lastSeen)
 	switch {
-	case silent && unlisted && silence > goneAfter, silent && en.leaving && silence > leaveTimeout:
+	case unresponsive && unlisted && unseenFor > goneAfter, unresponsive && en.leaving && unseenFor > leaveTimeout:
 		return Gone
 	case en.leaving, en.listed == platform.InstanceLeaving:
 		return Leaving
-	case silent:
+	case unresponsive:
 		return Suspected
 	case en.Version == 0:
 		return Joining
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -62,12 +62,12 @@
 	// Epoch distinguishes this process from earlier ones of the same instance.
 	Epoch int64
 
-	mu        sync.Mutex
-	sequence  uint64
-	endpoints map[string]roster.Endpoint
-	zones     []string
-	version   int64
-	silent    bool
+	mu          sync.Mutex
+	sequence    uint64
+	endpoints   map[string]roster.Endpoint
+	zones       []string
+	version     int64
+	storeSilent bool
 	// changed holds the IDs of changed endpoints in order; the last one has the
 	// number sequence. An empty ID stands for a change of anything else.
 	changed []string
@@ -89,9 +89,9 @@
 	defer lo.mu.Unlock()
 	before := lo.sequence
 	lo.compare(vi.All())
-	silent := lo.Roster.Silent()
-	if zones := vi.Evacuated(); version != lo.version || silent != lo.silent || !slices.Equal(zones, lo.zones) {
-		lo.zones, lo.version, lo.silent = zones, version, silent
+	storeSilent := lo.Roster.Silent()
+	if zones := vi.Evacuated(); version != lo.version || storeSilent != lo.storeSilent || !slices.Equal(zones, lo.zones) {
+		lo.zones, lo.version, lo.storeSilent = zones, version, storeSilent
 		lo.appendChange("")
 	}
 	if lo.sequence != before && lo.wake != nil {
@@ -175,7 +175,7 @@
 // update builds the answer to a query. The caller holds mu.
 func (lo *Log) update(qu Query) Update {
 	up := Update{
-		Epoch: lo.Epoch, Sequence: lo.sequence, Direct: lo.direct, Silent: lo.silent, Zones: lo.zones, Version: lo.version,
+		Epoch: lo.Epoch, Sequence: lo.sequence, Direct: lo.direct, Silent: lo.storeSilent, Zones: lo.zones, Version: lo.version,
 		ConfigurationAge: unknownAge, EndpointsAge: unknownAge,
 	}
 	if age, confirmed := lo.State.Age(); confirmed {
