--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -157,7 +157,8 @@
 }
 
 // applyReportedStates stores the states that an instance of another zone
-// reports for its zone.
+// reports for its zone. It clears the states of members that the report does not
+// name, because live members are not reported.
 func (ta *Table) applyReportedStates(re ProbeReply) {
 	if re.Zone == ta.Self.Zone {
 		return
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -62,12 +62,12 @@
 	// Epoch distinguishes this process from earlier ones of the same instance.
 	Epoch int64
 
-	mu          sync.Mutex
-	sequence    uint64
-	endpoints   map[string]roster.Endpoint
-	zones       []string
-	version     int64
-	storeSilent bool
+	mu                sync.Mutex
+	sequence          uint64
+	endpoints         map[string]roster.Endpoint
+	zones             []string
+	version           int64
+	storeUnresponsive bool
 	// changed holds the IDs of changed endpoints in order; the last one has the
 	// number sequence. An empty ID stands for a change of anything else.
 	changed []string
@@ -89,9 +89,9 @@
 	defer lo.mu.Unlock()
 	before := lo.sequence
 	lo.compare(vi.All())
-	storeSilent := lo.Roster.Silent()
-	if zones := vi.Evacuated(); version != lo.version || storeSilent != lo.storeSilent || !slices.Equal(zones, lo.zones) {
-		lo.zones, lo.version, lo.storeSilent = zones, version, storeSilent
+	storeUnresponsive := lo.Roster.Silent()
+	if zones := vi.Evacuated(); version != lo.version || storeUnresponsive != lo.storeUnresponsive || !slices.Equal(zones, lo.zones) {
+		lo.zones, lo.version, lo.storeUnresponsive = zones, version, storeUnresponsive
 		lo.appendChange("")
 	}
 	if lo.sequence != before && lo.wake != nil {
@@ -175,7 +175,7 @@
 // update builds the answer to a query. The caller holds mu.
 func (lo *Log) update(qu Query) Update {
 	up := Update{
-		Epoch: lo.Epoch, Sequence: lo.sequence, Direct: lo.direct, Silent: lo.storeSilent, Zones: lo.zones, Version: lo.version,
+		Epoch: lo.Epoch, Sequence: lo.sequence, Direct: lo.direct, Silent: lo.storeUnresponsive, Zones: lo.zones, Version: lo.version,
 		ConfigurationAge: unknownAge, EndpointsAge: unknownAge,
 	}
 	if age, confirmed := lo.State.Age(); confirmed {
--- a/internal/relay/switch.go
+++ b/internal/relay/switch.go
@@ -73,14 +73,14 @@
 	Logger zerolog.Logger
 
 	started time.Time
-	// readerStoreSilent is set while the followed reader gets no answers from
+	// readerStoreUnresponsive is set while the followed reader gets no answers from
 	// the store.
-	readerStoreSilent atomic.Bool
+	readerStoreUnresponsive atomic.Bool
 }
 
 // Silent reports whether the reader that this instance follows gets no answers
 // from the store.
-func (sw *Switch) Silent() bool { return sw.readerStoreSilent.Load() }
+func (sw *Switch) Silent() bool { return sw.readerStoreUnresponsive.Load() }
 
 // Name implements controller.Controller.
 func (sw *Switch) Name() string { return "relay" }
@@ -225,7 +225,7 @@
 // the reader of this zone, and follow ends when another instance becomes the
 // reader.
 func (sw *Switch) follow(ctx context.Context, me loadshare.Member, own bool) error {
-	defer sw.readerStoreSilent.Store(false)
+	defer sw.readerStoreUnresponsive.Store(false)
 	sw.Logger.Info().Str("event", "reader_followed").Str("reader", me.Name).Msg("relay: following a reader")
 	var qu Query
 	for ctx.Err() == nil {
@@ -238,7 +238,7 @@
 		if err := checkUpdate(up); err != nil {
 			return err
 		}
-		sw.readerStoreSilent.Store(up.Silent)
+		sw.readerStoreUnresponsive.Store(up.Silent)
 		sw.apply(up)
 		if err := sw.confirm(ctx, me, up, begun); err != nil {
 			return err
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -62,9 +62,9 @@
 	evacuated map[string]bool
 	listed    bool
 	// storeLost is set from a failed call until the store next delivers a list
-	// or changes, storeSilent until it next answers any call.
-	storeLost   bool
-	storeSilent bool
+	// or changes, storeUnresponsive until it next answers any call.
+	storeLost         bool
+	storeUnresponsive bool
 	// restoredAt is when storeLost was last cleared; zero if it never was.
 	restoredAt time.Time
 	view       snapshot.Holder[View]
@@ -115,7 +115,7 @@
 // Contact implements feed.Sink.
 func (ro *Roster) Contact(time.Duration) {
 	ro.update(func(now time.Time) []Endpoint {
-		ro.storeSilent = false
+		ro.storeUnresponsive = false
 		return ro.removeExpired(now)
 	})
 }
@@ -123,7 +123,7 @@
 // Trouble implements feed.Sink.
 func (ro *Roster) Trouble(error) {
 	ro.update(func(now time.Time) []Endpoint {
-		ro.storeLost, ro.storeSilent = true, true
+		ro.storeLost, ro.storeUnresponsive = true, true
 		return ro.removeExpired(now)
 	})
 }
@@ -143,7 +143,7 @@
 func (ro *Roster) Silent() bool {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	return ro.storeSilent
+	return ro.storeUnresponsive
 }
 
 // Leave marks an endpoint as leaving because its own answers say so.
@@ -178,7 +178,7 @@
 // markStoreAnswered records that the store answered, and the time if this ends
 // an outage.
 func (ro *Roster) markStoreAnswered(now time.Time) {
-	ro.storeSilent = false
+	ro.storeUnresponsive = false
 	if ro.storeLost {
 		ro.storeLost, ro.restoredAt = false, now
 	}
