--- a/internal/gateway/bound.go
+++ b/internal/gateway/bound.go
@@ -9,46 +9,51 @@
 )
 
 const (
-	// proofMargin is what is left of a bound on keys for the way from the caller
-	// and for clocks. A proof counts from before the store was asked, so that a
-	// key that was taken away later can't be covered by it.
-	proofMargin = 300 * time.Millisecond
-	// noBound is the age of proofs where the platform states no bound.
-	noBound = 24 * time.Hour
-	// budgetShare is how much of the shared budget for repeats is used: a share
-	// is kept for what instances count differently.
-	budgetShare = 0.8
-	// assumedMembers is how many instances are taken to share bounds as long as
-	// they are not known: a part that is too small costs some repeats, one that is
-	// too large breaks the bound.
-	assumedMembers = 100
-	defaultSpan    = 10 * time.Second
+	// confirmationMargin is the part of KeyRevocationBound that is reserved for
+	// the network delay from the caller and for clock skew. The age of a
+	// confirmation counts from before the store was asked, so it never covers a
+	// key that was revoked after that.
+	confirmationMargin = 300 * time.Millisecond
+	// unlimitedAge is the maximum age of a confirmation if the platform sets no
+	// bound.
+	unlimitedAge = 24 * time.Hour
+	// retryBudgetShare is the part of the shared retry budget that is used. The
+	// rest is a reserve, because instances may count requests and retries
+	// differently.
+	retryBudgetShare = 0.8
+	// assumedInstances is the number of instances that share a bound, as long as
+	// the real number is unknown. A share that is too small costs some retries,
+	// while one that is too large violates the bound.
+	assumedInstances   = 100
+	defaultRetryWindow = 10 * time.Second
 )
 
-// keyAge bounds the age of the proof that a key is valid.
-func (se Settings) keyAge() time.Duration {
-	if se.KeyBound == 0 {
-		return noBound
+// maxKeyAge returns the maximum age of the store's confirmation that a key is
+// valid.
+func (se Settings) maxKeyAge() time.Duration {
+	if se.KeyRevocationBound == 0 {
+		return unlimitedAge
 	}
-	return max(se.KeyBound-proofMargin, se.KeyBound/2)
+	return max(se.KeyRevocationBound-confirmationMargin, se.KeyRevocationBound/2)
 }
 
-// denyAge bounds the age of the proof that a route does not exist.
-func (se Settings) denyAge() time.Duration {
+// maxDenyAge returns the maximum age of the store's confirmation that a route
+// does not exist.
+func (se Settings) maxDenyAge() time.Duration {
 	if se.ConfigurationBound == 0 {
-		return noBound
+		return unlimitedAge
 	}
 	return 2 * se.ConfigurationBound
 }
 
-// budget returns this instance's part of the budget for repeats; members counts
-// the instances that share it.
-func (se Settings) budget(clock clockwork.Clock, members func() int) *budget.Window {
-	span := se.RetrySpan
+// budget returns this instance's share of the retry budget. The instances
+// function returns the number of instances that share it.
+func (se Settings) budget(clock clockwork.Clock, instances func() int) *budget.Window {
+	span := se.RetryWindow
 	if span == 0 {
-		span = defaultSpan
+		span = defaultRetryWindow
 	}
 	return &budget.Window{
-		Clock: clock, Span: span, Ratio: budgetShare * se.RetryRatio, Extra: func() float64 { return budgetShare * se.RetryExtra / float64(members()) },
+		Clock: clock, Span: span, Ratio: retryBudgetShare * se.RetryRatio, Extra: func() float64 { return retryBudgetShare * se.RetryExtra / float64(instances()) },
 	}
 }
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,9 +1,9 @@
-// Package gateway puts an instance together that serves callers on a platform:
-// it follows the platform's store, answers requests and stops in order. What
-// it speaks is given by an Adapter.
+// Package gateway assembles an instance that serves callers on a platform: it
+// watches the platform's store, answers requests and shuts down gracefully. An
+// Adapter supplies the protocols of the platform.
 //
 // # Usage
 //
 //	gw := &gateway.Gateway{Settings: se, Adapter: adapter, Clock: clock, Log: log}
-//	err := gw.Run(ctx) // until ctx ends, then stops in order
+//	err := gw.Run(ctx) // serves until ctx is canceled, then shuts down gracefully
 package gateway
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -10,18 +10,21 @@
 	"filbertstall.example/filbertstall/internal/routing"
 )
 
-// The times that one call to the store waits for changes. The configuration's
-// is short, since each answer proves that no newer one exists.
+// The long-poll timeouts of calls that watch the store. That of the
+// configuration is short because each answer confirms that no newer
+// configuration exists.
 const (
 	configurationWait = 1000 * time.Millisecond
 	endpointsWait     = 3 * time.Second
 	evacuationsWait   = 4 * time.Second
 	membersWait       = 25 * time.Second
-	// membersGap is behind the first list: all instances start together.
-	membersGap = 2 * time.Second
+	// membersBatchDelay batches the membership updates that follow the first
+	// list, because all instances start at about the same time.
+	membersBatchDelay = 2 * time.Second
 )
 
-// followConfiguration returns what follows the store's configuration.
+// followConfiguration returns the controller that watches the configuration in
+// the store.
 func (gw *Gateway) followConfiguration() controller.Controller {
 	return &feed.Follower[routing.Configuration]{
 		Kind: "configuration", Source: gw.Adapter.Configurations, Clock: gw.Clock, Boot: gw.Boot, Log: gw.Log, Wait: configurationWait,
@@ -30,15 +33,16 @@
 }
 
 func (gw *Gateway) configurationSink() *configurationSink {
-	return &configurationSink{name: gw.Adapter.ConfigurationName, state: &gw.state, log: gw.Log, changed: gw.relay.Observe}
+	return &configurationSink{name: gw.Adapter.ConfigurationName, state: &gw.state, log: gw.Log, onChange: gw.relay.Observe}
 }
 
-// followOthers returns what follows the store's endpoints and zones.
-func (gw *Gateway) followOthers() []controller.Controller {
+// followEndpointsAndEvacuations returns the controllers that watch the endpoints
+// and the evacuated zones in the store.
+func (gw *Gateway) followEndpointsAndEvacuations() []controller.Controller {
 	return []controller.Controller{
 		&feed.Follower[roster.Endpoint]{
 			Kind: "endpoints", Source: gw.Adapter.Endpoints, Clock: gw.Clock, Boot: gw.Boot, Log: gw.Log, Wait: endpointsWait,
-			Sink: &endpointSink{Roster: &gw.roster, contact: gw.relay.Contact},
+			Sink: &endpointSink{Roster: &gw.roster, onAnswer: gw.relay.Contact},
 		},
 		&feed.Follower[string]{
 			Kind: "evacuations", Source: gw.Adapter.Evacuations, Clock: gw.Clock, Boot: gw.Boot, Log: gw.Log, Wait: evacuationsWait,
@@ -47,7 +51,7 @@
 	}
 }
 
-// fetchConfiguration reads the configuration from the store once.
+// fetchConfiguration reads the configuration from the store once and applies it.
 func (gw *Gateway) fetchConfiguration(ctx context.Context) error {
 	begun := gw.Boot.Now()
 	list, _, err := gw.Adapter.Configurations.List(ctx)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,19 +31,20 @@
 	"filbertstall.example/filbertstall/internal/upstream"
 )
 
-// Codec translates requests and answers.
+// Codec translates requests and answers between a platform's protocol and the
+// types of this module.
 type Codec interface {
 	dispatch.Codec
 	ingress.Codec
 }
 
-// Engines gives orders to engines and asks them.
+// Engines sends migration commands and health checks to engines.
 type Engines interface {
 	migration.Engines
 	healthcheck.Engines
 }
 
-// Adapter is what a gateway needs of a platform.
+// Adapter connects a gateway to a platform.
 type Adapter struct {
 	Endpoints      feed.Source[roster.Endpoint]
 	Configurations feed.Source[routing.Configuration]
@@ -52,20 +53,21 @@
 	Registry       Registry
 	// ConfigurationName is the name of the object with the configuration.
 	ConfigurationName string
-	// DecodeConfiguration reads a configuration that another instance handed on.
+	// DecodeConfiguration decodes a configuration that another instance forwarded.
 	DecodeConfiguration func(source []byte) (*routing.Configuration, error)
 	Codec               Codec
-	// Engines gives orders by a sender.
+	// Engines returns the client of engines that sends its calls by a sender.
 	Engines func(dispatch.Sender) Engines
-	// IDHeader is the header field in which endpoints repeat a request's ID.
+	// IDHeader is the header field in which endpoints echo the ID of a request.
 	IDHeader string
-	// Relocate makes the sources read another store.
+	// Relocate directs the sources to a store at another address. If it is nil,
+	// a reload does not change the store.
 	Relocate func(address string)
-	// ReadyPath is the path at which the platform asks for readiness.
+	// ReadyPath is the path of the platform's readiness check.
 	ReadyPath string
 }
 
-// Gateway is one instance. Set the fields before Run.
+// Gateway is one instance. Set the exported fields before Run.
 type Gateway struct {
 	Settings Settings
 	Adapter  Adapter
@@ -73,22 +75,23 @@
 	Boot     boottime.Clock
 	Log      zerolog.Logger
 
-	settings snapshot.Holder[Settings]
-	state    routing.State
-	roster   roster.Roster
-	board    placement.Board
-	members  loadshare.Members
-	relay    relay.Log
-	relaying relay.Switch
-	suspects *suspicion.Registry
-	turns    loadshare.Turns
-	pool     upstream.Pool
-	ingress  ingress.Server
-	ready    *readiness
-	metrics  *metric.Root
+	settings    snapshot.Holder[Settings]
+	state       routing.State
+	roster      roster.Roster
+	board       placement.Board
+	members     loadshare.Members
+	relay       relay.Log
+	relaySwitch relay.Switch
+	suspects    *suspicion.Registry
+	turns       loadshare.Turns
+	pool        upstream.Pool
+	ingress     ingress.Server
+	ready       *readiness
+	metrics     *metric.Root
 }
 
-// Run runs the instance until ctx ends, then stops it in order.
+// Run serves until ctx is canceled and then shuts down gracefully. It returns an
+// error if a listener cannot be opened or a controller fails.
 func (gw *Gateway) Run(ctx context.Context) error {
 	li, err := gw.listen()
 	if err != nil {
@@ -97,20 +100,20 @@
 	gw.metrics = metric.NewRoot()
 	defer func() { _ = gw.metrics.Close() }()
 	controllers := gw.build(li)
-	gw.Log.Info().Str("event", "started").Str("zone", gw.Settings.Zone).Str("callers", gw.Settings.Callers).Str("store", gw.Settings.Store).Msg("gateway: started")
+	gw.Log.Info().Str("event", "started").Str("zone", gw.Settings.Zone).Str("callers", gw.Settings.Callers).Str("store", gw.Settings.Store).Msg("gateway: instance started")
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	over := context.AfterFunc(ctx, func() {
+	unregister := context.AfterFunc(ctx, func() {
 		gw.stop()
 		cancel()
 	})
-	defer over()
+	defer unregister()
 	gr := controller.Group{Controllers: controllers}
 	return gr.Run(running)
 }
 
-// Reload takes in settings that changed. Listeners, the instance's name and its
-// zone stay as they were until the next start.
+// Reload applies changed settings. Listeners, the name of the instance and its
+// zone keep their values until the next start.
 func (gw *Gateway) Reload(se Settings) {
 	old := gw.settings.Load()
 	if old == nil || *old == se {
@@ -122,27 +125,30 @@
 	}
 	restart := se.Callers != old.Callers || se.Readiness != old.Readiness || se.Metrics != old.Metrics ||
 		se.Instance != old.Instance || se.Zone != old.Zone
-	gw.Log.Info().Str("event", "reloaded").Str("store", se.Store).Dur("key_bound", se.KeyBound).Bool("restart_needed", restart).Msg("gateway: settings reloaded")
+	gw.Log.Info().Str("event", "reloaded").Str("store", se.Store).Dur("key_bound", se.KeyRevocationBound).Bool("restart_needed", restart).Msg("gateway: settings reloaded")
 }
 
-// ages returns the bounds on proofs by the settings in force.
-func (gw *Gateway) ages() dispatch.Ages {
+// maxAges returns the maximum ages of the store's confirmations by the current
+// settings.
+func (gw *Gateway) maxAges() dispatch.Ages {
 	se := gw.settings.Load()
-	return dispatch.Ages{Key: se.keyAge(), Deny: se.denyAge()}
+	return dispatch.Ages{Key: se.maxKeyAge(), Deny: se.maxDenyAge()}
 }
 
-// staleAge is the age of the proof from which engines are asked themselves. In
-// calm times it is under 3 s: the reader hears from the store each second and
-// then knows of the second before, and others hear from the reader each second.
-const staleAge = 3300 * time.Millisecond
+// staleAfter is the age of the store's last confirmation above which engines are
+// asked for their state directly. In normal operation the age stays below 3 s:
+// the reader gets an answer from the store each second that confirms the second
+// before, and the other instances hear from the reader each second.
+const staleAfter = 3300 * time.Millisecond
 
-// stale tells whether a notice of an engine may not have come through the store.
-func (gw *Gateway) stale() bool {
+// engineStatesStale reports whether the store may have failed to deliver an
+// engine's notice that it leaves.
+func (gw *Gateway) engineStatesStale() bool {
 	age, proven := gw.state.Age()
-	return proven && (age > staleAge || gw.roster.Silent() || gw.relaying.Silent())
+	return proven && (age > staleAfter || gw.roster.Silent() || gw.relaySwitch.Silent())
 }
 
-// build makes the parts of the instance and returns its controllers.
+// build creates the components of the instance and returns its controllers.
 func (gw *Gateway) build(li listeners) []controller.Controller {
 	se := gw.Settings
 	gw.settings.Store(&se)
@@ -154,29 +160,29 @@
 	mover := &migration.Mover{Engines: engines, Roster: &gw.roster, Board: &gw.board, Clock: gw.Clock, Log: gw.Log, Turns: &gw.turns}
 	gw.roster = roster.Roster{Clock: gw.Clock, Log: gw.Log, OnLeave: mover.Leaving, OnChange: gw.relay.Observe}
 	gw.relay = relay.Log{Boot: gw.Boot, Roster: &gw.roster, State: &gw.state, Now: gw.Clock.Now, Epoch: gw.Clock.Now().UnixNano()}
-	gw.suspects = &suspicion.Registry{Caller: &peer.Client{}, Peers: gw.confidants, Clock: gw.Clock}
+	gw.suspects = &suspicion.Registry{Caller: &peer.Client{}, Peers: gw.crashRecipients, Clock: gw.Clock}
 	hangups := &hangup.Watcher{Clock: gw.Clock}
 	di := &dispatch.Dispatcher{
 		State: &gw.state, Roster: &gw.roster, Board: &gw.board, Sender: &gw.pool, Codec: gw.Adapter.Codec, Clock: gw.Clock, Log: gw.Log,
-		Budget: se.budget(gw.Clock, gw.memberCount), Ages: gw.ages, Members: gw.memberCount,
+		Budget: se.budget(gw.Clock, gw.instanceCount), Ages: gw.maxAges, Members: gw.instanceCount,
 		Runs: mover, Suspects: gw.suspects, Reachable: gw.pool.Reachable, Meter: &dispatch.Meter{Scope: gw.metrics.Scope},
 	}
 	gw.ingress = ingress.Server{Listener: li.callers, Codec: gw.Adapter.Codec, Dispatcher: di, Hangups: hangups, Clock: gw.Clock, Log: gw.Log}
 	gw.ingress.Prepare()
-	gw.ready = &readiness{state: &gw.state, roster: &gw.roster, ages: gw.ages}
+	gw.ready = &readiness{state: &gw.state, roster: &gw.roster, maxAges: gw.maxAges}
 	controllers := []controller.Controller{
 		hangups, &gw.ingress, &janitor{gw: gw},
-		&healthcheck.Checker{Engines: engines, Runs: mover.Endpoints, Stale: gw.stale, Leave: gw.roster.Leave, Clock: gw.Clock, Log: gw.Log},
-		&plainServer{name: "readiness", listener: li.readiness, handler: gw.serveReady},
+		&healthcheck.Checker{Engines: engines, Runs: mover.Endpoints, Stale: gw.engineStatesStale, Leave: gw.roster.Leave, Clock: gw.Clock, Log: gw.Log},
+		&auxiliaryServer{name: "readiness", listener: li.readiness, handler: gw.serveReady},
 	}
 	if li.metrics != nil {
 		metrics := fasthttpadaptor.NewFastHTTPHandler(gw.metrics.Handler)
-		controllers = append(controllers, &plainServer{name: "metrics", listener: li.metrics, handler: metrics})
+		controllers = append(controllers, &auxiliaryServer{name: "metrics", listener: li.metrics, handler: metrics})
 	}
 	if li.peers == nil {
-		return append(append(controllers, gw.followConfiguration()), gw.followOthers()...)
+		return append(append(controllers, gw.followConfiguration()), gw.followEndpointsAndEvacuations()...)
 	}
-	return append(controllers, gw.sharing(li)...)
+	return append(controllers, gw.peerControllers(li)...)
 }
 
 func (gw *Gateway) serveReady(ctx *fasthttp.RequestCtx) {
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -5,12 +5,16 @@
 	"net/netip"
 )
 
-// listeners are the open listeners of an instance.
+// listeners are the open listeners of an instance. The metrics listener is nil
+// if metrics are not served. The metrics listener is nil
+// if metrics are not served.
 type listeners struct {
 	callers, readiness, metrics net.Listener
-	// peers is nil if the instance tells and hears no others.
+	// peers receives datagrams of other instances. It is nil if
+	// Settings.Peers is empty.
 	peers *net.UDPConn
-	// calls takes calls of other instances, at the same address.
+	// calls accepts RPC connections of other instances at the same address. It is
+	// nil if peers is nil.
 	calls net.Listener
 }
 
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -14,33 +14,35 @@
 	"filbertstall.example/filbertstall/internal/steady"
 )
 
-// readiness decides whether the platform should send callers here.
+// readiness decides the answer to the platform's readiness check.
 type readiness struct {
 	state    *routing.State
 	roster   *roster.Roster
-	ages     func() dispatch.Ages
+	maxAges  func() dispatch.Ages
 	stopping atomic.Bool
 }
 
-// ready tells whether requests can be served: a configuration is proved, some
-// endpoint is known, and the instance does not stop.
+// ready reports whether requests can be served: the store has confirmed the
+// configuration recently enough for accepting keys, at least one endpoint is
+// known, and the instance is not shutting down.
 func (re *readiness) ready() bool {
 	age, proven := re.state.Age()
-	return !re.stopping.Load() && proven && age <= re.ages().Key && re.roster.View().Len() > 0
+	return !re.stopping.Load() && proven && age <= re.maxAges().Key && re.roster.View().Len() > 0
 }
 
-// plainServer serves small answers on a listener of its own.
-type plainServer struct {
+// auxiliaryServer serves the readiness check or the metrics on a listener of its
+// own.
+type auxiliaryServer struct {
 	name     string
 	listener net.Listener
 	handler  fasthttp.RequestHandler
 }
 
 // Name implements controller.Controller.
-func (ps *plainServer) Name() string { return ps.name }
+func (ps *auxiliaryServer) Name() string { return ps.name }
 
 // Run implements controller.Controller.
-func (ps *plainServer) Run(ctx context.Context) error {
+func (ps *auxiliaryServer) Run(ctx context.Context) error {
 	se := fasthttp.Server{Handler: ps.handler, NoDefaultServerHeader: true, Logger: steady.QuietLogger{}}
 	stop := context.AfterFunc(ctx, func() { _ = ps.listener.Close() })
 	defer stop()
@@ -52,13 +54,15 @@
 }
 
 const (
-	// tickInterval is how often state that times out is looked at.
-	tickInterval = 200 * time.Millisecond
-	// pruneTicks is how many ticks lie between two rounds of tidying.
-	pruneTicks = 10
+	// expiryInterval is the time between two checks for expired state.
+	expiryInterval = 200 * time.Millisecond
+	// ticksPerPrune is the number of checks per garbage collection of idle
+	// connections and of the accounts of removed endpoints.
+	ticksPerPrune = 10
 )
 
-// janitor lets go of what has timed out.
+// janitor removes expired state: roster entries, idle connections and the
+// accounts of endpoints that no longer exist.
 type janitor struct{ gw *Gateway }
 
 // Name implements controller.Controller.
@@ -66,7 +70,7 @@
 
 // Run implements controller.Controller.
 func (ja *janitor) Run(ctx context.Context) error {
-	ti := ja.gw.Clock.NewTicker(tickInterval)
+	ti := ja.gw.Clock.NewTicker(expiryInterval)
 	defer ti.Stop()
 	for tick := 1; ; tick++ {
 		select {
@@ -75,7 +79,7 @@
 		case <-ti.Chan():
 		}
 		ja.gw.roster.Tick()
-		if tick%pruneTicks == 0 {
+		if tick%ticksPerPrune == 0 {
 			ja.gw.pool.Prune()
 			vi := ja.gw.roster.View()
 			ja.gw.board.Forget(func(id string) bool { _, known := vi.Get(id); return known })
--- a/internal/gateway/registration.go
+++ b/internal/gateway/registration.go
@@ -11,18 +11,20 @@
 	"filbertstall.example/filbertstall/internal/loadshare"
 )
 
-// Registry keeps the list of instances.
+// Registry writes the list of instances that is kept in the platform's store.
 type Registry interface {
-	// Register writes an instance down, over what is there of its name.
+	// Register creates the entry of an instance or replaces the one of the same
+	// name.
 	Register(me loadshare.Member) error
-	// Withdraw removes an instance.
+	// Withdraw removes the entry of an instance.
 	Withdraw(name string) error
 }
 
-// registerPause is the pause after a write that failed.
-const registerPause = time.Second
+// registerRetryDelay is the delay before a failed registration is retried.
+const registerRetryDelay = time.Second
 
-// registration writes this instance down, once.
+// registration is the controller that registers this instance once, retrying
+// until the write succeeds.
 type registration struct {
 	registry Registry
 	self     loadshare.Member
@@ -38,30 +40,30 @@
 	for ctx.Err() == nil {
 		err := re.registry.Register(re.self)
 		if err == nil {
-			re.log.Info().Str("event", "registered").Str("address", re.self.Address.String()).Msg("gateway: registered")
+			re.log.Info().Str("event", "registered").Str("address", re.self.Address.String()).Msg("gateway: instance registered in the store")
 			break
 		}
-		re.log.Warn().Str("event", "not_registered").Err(err).Msg("gateway: not registered yet")
+		re.log.Warn().Str("event", "not_registered").Err(err).Msg("gateway: registration failed, retrying")
 		select {
 		case <-ctx.Done():
-		case <-re.clock.After(registerPause):
+		case <-re.clock.After(registerRetryDelay):
 		}
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// memberSink keeps the list of instances.
+// memberSink updates the list of instances from the store.
 type memberSink struct {
 	members *loadshare.Members
-	known   map[string]loadshare.Member
+	byName  map[string]loadshare.Member
 }
 
 // Reset implements feed.Sink.
 func (ms *memberSink) Reset(list []feed.Object[loadshare.Member]) {
-	ms.known = make(map[string]loadshare.Member, len(list))
+	ms.byName = make(map[string]loadshare.Member, len(list))
 	for _, ob := range list {
-		ms.put(ob)
+		ms.set(ob)
 	}
 	ms.publish()
 }
@@ -70,10 +72,10 @@
 func (ms *memberSink) Apply(list []feed.Change[loadshare.Member]) {
 	for _, ch := range list {
 		if ch.Removed {
-			delete(ms.known, ch.Object.Name)
+			delete(ms.byName, ch.Object.Name)
 			continue
 		}
-		ms.put(ch.Object)
+		ms.set(ch.Object)
 	}
 	ms.publish()
 }
@@ -84,17 +86,17 @@
 // Trouble implements feed.Sink.
 func (*memberSink) Trouble(error) {}
 
-func (ms *memberSink) put(ob feed.Object[loadshare.Member]) {
+func (ms *memberSink) set(ob feed.Object[loadshare.Member]) {
 	if ob.Value == nil {
-		delete(ms.known, ob.Name)
+		delete(ms.byName, ob.Name)
 		return
 	}
-	ms.known[ob.Name] = *ob.Value
+	ms.byName[ob.Name] = *ob.Value
 }
 
 func (ms *memberSink) publish() {
-	list := make([]loadshare.Member, 0, len(ms.known))
-	for _, me := range ms.known {
+	list := make([]loadshare.Member, 0, len(ms.byName))
+	for _, me := range ms.byName {
 		list = append(list, me)
 	}
 	ms.members.Set(list)
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -2,34 +2,38 @@
 
 import "time"
 
-// Settings is what an instance must know before it reaches the store. An
-// adapter reads them from the platform's file.
+// Settings are the values that an instance needs before it can reach the store.
+// The platform's adapter reads them from the platform's settings file.
 type Settings struct {
 	// Instance is the instance's name.
 	Instance string
 	Zone     string
-	// Callers, Readiness and Metrics are addresses to listen on; an empty
-	// Metrics serves none.
+	// Callers, Readiness and Metrics are the addresses to listen on. If Metrics
+	// is empty, metrics are not served.
 	Callers   string
 	Readiness string
 	Metrics   string
-	// Peers is the address for datagrams between instances; empty means that
-	// the instance neither tells nor hears others.
+	// Peers is the address for datagrams and calls between instances. If it is
+	// empty, the instance exchanges nothing with others.
 	Peers string
-	// Link is the bandwidth of the instance, in Mbit/s.
-	Link int
+	// LinkMbps is the network bandwidth of the instance, in Mbit/s.
+	LinkMbps int
 	// Store is the address of the platform's store.
 	Store string
-	// KeyBound is the time after which a key that was taken away must not be
-	// accepted by any instance; zero means that there is no such bound.
-	KeyBound time.Duration
-	// ConfigurationBound is the time within which a configuration must be in
-	// force.
+	// KeyRevocationBound is the time after which no instance may accept a revoked
+	// key. Zero means that there is no such bound.
+	KeyRevocationBound time.Duration
+	// ConfigurationBound is the time within which a new configuration must be in
+	// effect. Zero means that there is no such bound.
 	ConfigurationBound time.Duration
-	// StopBound is the time from SIGTERM to SIGKILL.
-	StopBound time.Duration
-	// RetryRatio, RetrySpan and RetryExtra bound repeats over all instances.
-	RetryRatio float64
-	RetrySpan  time.Duration
-	RetryExtra float64
+	// ShutdownTimeout is the time from SIGTERM to SIGKILL. Values of up to
+	// shutdownMargin select defaultShutdownTimeout. Values of up to
+	// shutdownMargin select defaultShutdownTimeout.
+	ShutdownTimeout time.Duration
+	// RetryRatio, RetryWindow and RetryExtra are the retry budget of all instances
+	// together: within a window, RetryRatio retries per request and RetryExtra
+	// more. A zero RetryWindow selects defaultRetryWindow.
+	RetryRatio  float64
+	RetryWindow time.Duration
+	RetryExtra  float64
 }
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -12,19 +12,20 @@
 	"filbertstall.example/filbertstall/internal/routing"
 )
 
-// configurationSink brings configurations into force.
+// configurationSink puts new configurations into effect.
 type configurationSink struct {
 	name  string
 	state *routing.State
 	log   zerolog.Logger
-	// changed is called after a change; nil is called never.
-	changed func()
+	// onChange is called after a new configuration has taken effect. It may be
+	// nil.
+	onChange func()
 }
 
 // Reset implements feed.Sink.
 func (cs *configurationSink) Reset(list []feed.Object[routing.Configuration]) {
 	for _, ob := range list {
-		cs.put(ob)
+		cs.apply(ob)
 	}
 }
 
@@ -32,7 +33,7 @@
 func (cs *configurationSink) Apply(list []feed.Change[routing.Configuration]) {
 	for _, ch := range list {
 		if !ch.Removed {
-			cs.put(ch.Object)
+			cs.apply(ch.Object)
 		}
 	}
 }
@@ -40,38 +41,38 @@
 // Contact implements feed.Sink.
 func (cs *configurationSink) Contact(begun time.Duration) { cs.state.Confirm(begun) }
 
-// endpointSink tells the log of readers how fresh the roster is.
+// endpointSink also tells the relay's change log how fresh the roster is.
 type endpointSink struct {
 	*roster.Roster
-	contact func(begun time.Duration)
+	onAnswer func(begun time.Duration)
 }
 
 // Contact implements feed.Sink.
 func (es *endpointSink) Contact(begun time.Duration) {
 	es.Roster.Contact(begun)
-	es.contact(begun)
+	es.onAnswer(begun)
 }
 
 // Trouble implements feed.Sink.
 func (*configurationSink) Trouble(error) {}
 
-func (cs *configurationSink) put(ob feed.Object[routing.Configuration]) {
+func (cs *configurationSink) apply(ob feed.Object[routing.Configuration]) {
 	if ob.Name != cs.name {
 		return
 	}
 	if ob.Value == nil {
-		cs.log.Error().Str("event", "configuration_unreadable").Err(ob.Err).Msg("gateway: configuration left out")
+		cs.log.Error().Str("event", "configuration_unreadable").Err(ob.Err).Msg("gateway: configuration could not be decoded, keeping the current one")
 		return
 	}
 	if cs.state.Put(ob.Value) {
-		if cs.changed != nil {
-			cs.changed()
+		if cs.onChange != nil {
+			cs.onChange()
 		}
-		cs.log.Info().Str("event", "configuration").Int64("version", ob.Value.Version).Msg("gateway: configuration in force")
+		cs.log.Info().Str("event", "configuration").Int64("version", ob.Value.Version).Msg("gateway: new configuration in effect")
 	}
 }
 
-// evacuationSink keeps the zones that operators want unused.
+// evacuationSink tracks the zones that operators have evacuated.
 type evacuationSink struct {
 	roster *roster.Roster
 	zones  map[string]bool
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -5,28 +5,32 @@
 	"time"
 )
 
-// The parts of the time to stop: first callers are still taken while the
-// platform notices that the instance is not ready, then open answers end.
 const (
-	noticeTime = 2600 * time.Millisecond
-	stopMargin = 500 * time.Millisecond
-	// defaultStopBound is for platforms that state none.
-	defaultStopBound = 8 * time.Second
+	// notReadyDelay is the time for which new connections are still accepted
+	// after the instance reports that it is not ready, so that the platform can
+	// notice it. It is at most a third of the shutdown timeout.
+	notReadyDelay = 2600 * time.Millisecond
+	// shutdownMargin is kept free between the end of the shutdown and SIGKILL.
+	// shutdownMargin is kept free between the end of the shutdown and SIGKILL.
+	shutdownMargin = 500 * time.Millisecond
+	// defaultShutdownTimeout applies if the platform states no shutdown timeout.
+	defaultShutdownTimeout = 8 * time.Second
 )
 
-// stop stops in order: not ready, no new connections, open answers end.
+// stop shuts the instance down gracefully: it reports not ready, waits for the
+// platform to notice, closes the listener and lets requests in flight finish.
 func (gw *Gateway) stop() {
 	begun := gw.Clock.Now()
-	bound := gw.Settings.StopBound
-	if bound <= stopMargin {
-		bound = defaultStopBound
+	bound := gw.Settings.ShutdownTimeout
+	if bound <= shutdownMargin {
+		bound = defaultShutdownTimeout
 	}
-	gw.Log.Info().Str("event", "stopping").Int("open", gw.ingress.Open()).Msg("gateway: stopping")
+	gw.Log.Info().Str("event", "stopping").Int("open", gw.ingress.InFlight()).Msg("gateway: graceful shutdown begins")
 	gw.ready.stopping.Store(true)
-	gw.ingress.Announce()
-	gw.Clock.Sleep(min(noticeTime, bound/3))
-	ctx, cancel := context.WithTimeout(context.Background(), bound-stopMargin-gw.Clock.Since(begun))
+	gw.ingress.AnnounceShutdown()
+	gw.Clock.Sleep(min(notReadyDelay, bound/3))
+	ctx, cancel := context.WithTimeout(context.Background(), bound-shutdownMargin-gw.Clock.Since(begun))
 	defer cancel()
 	gw.ingress.Stop(ctx)
-	gw.Log.Info().Str("event", "stopped").Dur("took", gw.Clock.Since(begun)).Msg("gateway: stopped")
+	gw.Log.Info().Str("event", "stopped").Dur("took", gw.Clock.Since(begun)).Msg("gateway: graceful shutdown ended")
 }
--- a/internal/ingress/doc.go
+++ b/internal/ingress/doc.go
@@ -1,10 +1,11 @@
-// Package ingress is the listener towards callers whose requests have a
-// platform's form. A Codec reads requests and says which header fields of an
-// answer callers get; the rest is HTTP.
+// Package ingress is the HTTP server for callers that use a platform's request
+// format. A Codec decodes requests and selects the header fields of an answer
+// that callers receive.
 //
 // # Usage
 //
 //	se := &ingress.Server{Listener: ln, Codec: codec, Dispatcher: di, Hangups: wa, Clock: clock}
+//	se.Prepare()
 //	err := se.Run(ctx)   // a controller.Controller
-//	se.Stop(ctx)         // answers what is open, then closes
+//	se.Stop(ctx)         // finishes requests in flight, then closes
 package ingress
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -20,26 +20,29 @@
 	"filbertstall.example/filbertstall/internal/upstream"
 )
 
-// Codec reads a platform's form of requests.
+// Codec decodes requests in a platform's format.
 type Codec interface {
-	// Request reads a request. It keeps nothing of ctx.
+	// Request decodes a request. The result holds no reference to ctx.
 	Request(ctx *fasthttp.RequestCtx, arrived time.Time) *dispatch.Request
-	// AnswerHeaders returns the fields of an endpoint's answer that callers get.
+	// AnswerHeaders returns the header fields of an endpoint's answer that are
+	// passed on to the caller.
 	AnswerHeaders(list []upstream.Header) []upstream.Header
 }
 
 const (
-	// headerBytes bounds a request's header, with room over what platforms allow.
-	headerBytes = 32 << 10
-	// bodyBytes bounds a request's body.
-	bodyBytes = 64 << 20
-	// readTimeout bounds the time from a request's first byte to its last.
+	// maxHeaderBytes limits the header of a request. It is larger than what
+	// platforms allow.
+	maxHeaderBytes = 32 << 10
+	// maxBodyBytes limits the body of a request.
+	maxBodyBytes = 64 << 20
+	// readTimeout limits the time from the first byte of a request to its last.
 	readTimeout = 30 * time.Second
-	// idleTimeout is over what callers are told, so that they close first.
+	// idleTimeout is longer than the idle timeout that callers are told, so that
+	// they close the connection first.
 	idleTimeout = 75 * time.Second
 )
 
-// Server is the listener. Set the exported fields before Run.
+// Server serves callers. Set the exported fields and call Prepare before Run.
 type Server struct {
 	Listener   net.Listener
 	Codec      Codec
@@ -48,19 +51,19 @@
 	Clock      clockwork.Clock
 	Log        zerolog.Logger
 
-	server   fasthttp.Server
-	stopping atomic.Bool
-	open     atomic.Int64
-	base     context.Context
-	cut      context.CancelCauseFunc
+	server    fasthttp.Server
+	stopping  atomic.Bool
+	inFlight  atomic.Int64
+	base      context.Context
+	cancelAll context.CancelCauseFunc
 }
 
-// Prepare must be called before Run and Stop.
+// Prepare creates the HTTP server. It must be called before Run and Stop.
 func (se *Server) Prepare() {
-	se.base, se.cut = context.WithCancelCause(context.Background())
+	se.base, se.cancelAll = context.WithCancelCause(context.Background())
 	se.server = fasthttp.Server{
 		Handler: se.serve, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
-		MaxRequestBodySize: bodyBytes, ReadBufferSize: headerBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
+		MaxRequestBodySize: maxBodyBytes, ReadBufferSize: maxHeaderBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
 		CloseOnShutdown: true, DisablePreParseMultipartForm: true, Logger: steady.QuietLogger{},
 	}
 }
@@ -68,7 +71,7 @@
 // Name implements controller.Controller.
 func (se *Server) Name() string { return "ingress" }
 
-// Run serves until ctx ends or Stop is called.
+// Run serves until ctx is canceled or Stop is called.
 func (se *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = se.Listener.Close() })
 	defer stop()
@@ -79,14 +82,16 @@
 	return err
 }
 
-// errStopping ends what is still open when the time to stop is over.
-var errStopping = errors.New("ingress: the instance stops")
+// errShutdownTimeout is the cancellation cause of requests that are still in
+// flight when the shutdown timeout expires.
+var errShutdownTimeout = errors.New("ingress: request canceled by the shutdown of the instance")
 
-// Announce makes all answers from now on ask callers to connect anew.
-func (se *Server) Announce() { se.stopping.Store(true) }
+// AnnounceShutdown makes all further answers carry Connection: close, so that
+// callers reconnect to another instance.
+func (se *Server) AnnounceShutdown() { se.stopping.Store(true) }
 
-// Stop closes the listener and idle connections and waits for open answers.
-// What is open when ctx ends is cut.
+// Stop closes the listener and idle connections and waits for requests in
+// flight. It cancels those that remain when ctx ends.
 func (se *Server) Stop(ctx context.Context) {
 	se.stopping.Store(true)
 	done := make(chan struct{})
@@ -95,26 +100,26 @@
 		_ = se.server.ShutdownWithContext(ctx)
 	}()
 	<-done
-	if open := se.open.Load(); open > 0 {
-		se.Log.Warn().Str("event", "stop_cuts").Int64("open", open).Msg("ingress: answers were still open at the end of the stop")
+	if inFlight := se.inFlight.Load(); inFlight > 0 {
+		se.Log.Warn().Str("event", "stop_cuts").Int64("open", inFlight).Msg("ingress: shutdown timeout expired, canceling the requests in flight")
 	}
-	se.cut(errStopping)
+	se.cancelAll(errShutdownTimeout)
 }
 
-// Open returns how many requests are open.
-func (se *Server) Open() int { return int(se.open.Load()) }
+// InFlight returns the number of requests that are being served.
+func (se *Server) InFlight() int { return int(se.inFlight.Load()) }
 
 func (se *Server) serve(ctx *fasthttp.RequestCtx) {
 	re := se.Codec.Request(ctx, se.Clock.Now())
-	se.open.Add(1)
-	within, cancel := context.WithCancelCause(se.base)
-	stopWatch := se.Hangups.Watch(ctx.Conn(), func() { cancel(errCallerLeft) })
-	end := func() {
+	se.inFlight.Add(1)
+	requestCtx, cancel := context.WithCancelCause(se.base)
+	stopWatch := se.Hangups.Watch(ctx.Conn(), func() { cancel(errCallerDisconnected) })
+	release := func() {
 		stopWatch()
 		cancel(nil)
-		se.open.Add(-1)
+		se.inFlight.Add(-1)
 	}
-	rp := se.Dispatcher.Serve(within, re)
+	rp := se.Dispatcher.Serve(requestCtx, re)
 	if se.stopping.Load() {
 		ctx.Response.SetConnectionClose()
 	}
@@ -123,17 +128,18 @@
 		refuse(ctx, re, rp.Refusal)
 	case rp.Events != nil:
 		se.writeHead(ctx, rp)
-		ctx.Response.SetBodyStream(&eventBody{Reply: rp, end: end}, -1)
+		ctx.Response.SetBodyStream(&eventBody{Reply: rp, release: release}, -1)
 		return
 	default:
 		se.writeHead(ctx, rp)
 		writeBody(ctx, rp)
 	}
-	end()
+	release()
 }
 
-// errCallerLeft is the cause of the end of a request whose caller hung up.
-var errCallerLeft = errors.New("ingress: the caller left")
+// errCallerDisconnected is the cancellation cause of requests whose caller closed
+// the connection.
+var errCallerDisconnected = errors.New("ingress: the caller closed the connection")
 
 func (se *Server) writeHead(ctx *fasthttp.RequestCtx, rp dispatch.Reply) {
 	ctx.SetStatusCode(rp.Status)
@@ -150,24 +156,25 @@
 	ctx.Response.SetBodyRaw(rp.Body)
 }
 
-// refuse writes the instance's own answer. A status that promises that the
-// request has not run is used only where the outcome proves it.
+// refuse writes the instance's own answer. It uses a status that implies that the
+// request has not run only if the outcome guarantees it, and 502 otherwise.
 func refuse(ctx *fasthttp.RequestCtx, re *dispatch.Request, er *refusal.Error) {
 	ru := er.Rule()
 	status := ru.Status
-	if ru.Outcome != refusal.NotRun && promises(status) {
+	if ru.Outcome != refusal.NotRun && impliesNotRun(status) {
 		status = http.StatusBadGateway
 	}
 	ctx.SetStatusCode(status)
-	if ru.RetryAfter > 0 && promises(status) {
+	if ru.RetryAfter > 0 && impliesNotRun(status) {
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(retryAfter(re, ru.RetryAfter).Seconds(), 'f', 3, 64))
 	}
 	ctx.SetContentType(refusal.ContentType)
 	ctx.SetBody(er.ProblemOf(re.ID, ""))
 }
 
-// promises tells whether a status says that the request never ran.
-func promises(status int) bool {
+// impliesNotRun reports whether callers may conclude from a status that the
+// request has not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -176,34 +183,34 @@
 	}
 }
 
-// retryShare is the part of a caller's time that a pause may take; a longer
-// one leaves it too little for the answer.
-const retryShare = 4
+// maxRetryAfterDivisor limits Retry-After to this fraction of the caller's
+// timeout. A longer delay would leave too little time for the answer.
+const maxRetryAfterDivisor = 4
 
 func retryAfter(re *dispatch.Request, pause time.Duration) time.Duration {
 	if re.Budget > 0 {
-		pause = min(pause, re.Budget/retryShare)
+		pause = min(pause, re.Budget/maxRetryAfterDivisor)
 	}
 	return pause
 }
 
-// eventBody is a stream's body on its way to the caller.
+// eventBody is the response body of a stream.
 type eventBody struct {
 	dispatch.Reply
-	end  func()
-	over bool
+	release func()
+	closed  bool
 }
 
 // Read implements io.Reader.
 func (eb *eventBody) Read(into []byte) (int, error) { return eb.Events.Read(into) }
 
-// Close implements io.Closer. The library calls it behind the last read.
+// Close implements io.Closer. The HTTP library calls it after the last read.
 func (eb *eventBody) Close() error {
-	if eb.over {
+	if eb.closed {
 		return nil
 	}
-	eb.over = true
+	eb.closed = true
 	err := eb.Events.Close()
-	eb.end()
+	eb.release()
 	return err
 }
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -28,7 +28,7 @@
 	"filbertstall.example/filbertstall/internal/upstream"
 )
 
-// testCodec is a small platform.
+// testCodec is the codec of a minimal platform, whose only header field is Id.
 type testCodec struct{}
 
 func (testCodec) Request(ctx *fasthttp.RequestCtx, arrived time.Time) *dispatch.Request {
@@ -54,7 +54,8 @@
 
 func (testCodec) Verdict(*upstream.Answer) dispatch.Verdict { return dispatch.Verdict{Genuine: true} }
 
-// endpoint answers one request by a script.
+// endpoint starts an endpoint that reads one request from each connection and
+// lets script write the answer. It returns the endpoint's address.
 func endpoint(t *testing.T, script func(conn net.Conn, id string)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -82,6 +83,10 @@
 	return ln.Addr().String()
 }
 
+// start runs a server until the test ends. It knows the endpoint at address, or
+// none if address is empty. It returns the server and its URL.
+// start runs a server until the test ends. It knows the endpoint at address, or
+// none if address is empty. It returns the server and its URL.
 func start(t *testing.T, address string) (*Server, string) {
 	t.Helper()
 	clock := clockwork.NewRealClock()
@@ -158,7 +163,8 @@
 	g.Expect(resp.Header.Get("Retry-After")).To(Equal("0.250"))
 }
 
-// A status that promises that nothing ran is used only where that is proved.
+// A status that implies that a request has not run may be used only if the outcome
+// guarantees it. Otherwise callers would retry requests that may have run.
 func TestPromisedStatus(t *testing.T) {
 	for reason := range refusal.Table {
 		for _, dispatched := range []bool{false, true} {
@@ -166,11 +172,11 @@
 			er.Dispatched = dispatched
 			var ctx fasthttp.RequestCtx
 			refuse(&ctx, &dispatch.Request{}, er)
-			if promises(ctx.Response.StatusCode()) && er.Rule().Outcome != refusal.NotRun {
-				t.Errorf("%s, dispatched %v: status %d promises too much", reason, dispatched, ctx.Response.StatusCode())
+			if impliesNotRun(ctx.Response.StatusCode()) && er.Rule().Outcome != refusal.NotRun {
+				t.Errorf("%s, dispatched %v: status %d implies that the request has not run, the outcome does not", reason, dispatched, ctx.Response.StatusCode())
 			}
-			if !promises(ctx.Response.StatusCode()) && len(ctx.Response.Header.Peek("Retry-After")) > 0 {
-				t.Errorf("%s: a pause for a request that may have run", reason)
+			if !impliesNotRun(ctx.Response.StatusCode()) && len(ctx.Response.Header.Peek("Retry-After")) > 0 {
+				t.Errorf("%s: Retry-After for a request that may have run", reason)
 			}
 		}
 	}
@@ -182,7 +188,8 @@
 	g.Expect(retryAfter(&dispatch.Request{}, time.Second)).To(Equal(time.Second))
 }
 
-// A stream that breaks must not look complete.
+// A stream whose endpoint closes the connection before the final chunk must not
+// look complete to the caller.
 func TestBrokenStreamEndsWithoutItsEnd(t *testing.T) {
 	g := NewWithT(t)
 	_, url := start(t, endpoint(t, func(conn net.Conn, id string) {
@@ -193,7 +200,8 @@
 	g.Expect(body).To(Equal("id: 1\ndata: ab\n\n"))
 }
 
-// A caller that hangs up ends the work at the endpoint.
+// The request at the endpoint is canceled when the caller closes its connection,
+// before the answer as well as in the middle of a stream.
 func TestCallerThatLeaves(t *testing.T) {
 	for _, path := range []string{"/x", "/stream/x"} {
 		t.Run(path, func(t *testing.T) {
@@ -214,12 +222,13 @@
 			g.Eventually(began, "5s").Should(BeClosed())
 			g.Expect(conn.Close()).To(Succeed())
 			g.Eventually(ended, "5s").Should(BeClosed())
-			g.Eventually(se.Open, "5s").Should(BeZero())
+			g.Eventually(se.InFlight, "5s").Should(BeZero())
 		})
 	}
 }
 
-// A stop lets open answers end, and asks callers to connect anew.
+// A graceful shutdown lets requests in flight finish and asks callers to
+// reconnect.
 func TestStop(t *testing.T) {
 	g := NewWithT(t)
 	release := make(chan struct{})
@@ -236,8 +245,8 @@
 		resp, body, _ := get(t, url+"/x")
 		got <- result{resp, body}
 	}()
-	g.Eventually(se.Open, "5s").Should(Equal(1))
-	se.Announce()
+	g.Eventually(se.InFlight, "5s").Should(Equal(1))
+	se.AnnounceShutdown()
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
