--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -4,6 +4,6 @@
 //
 // # Usage
 //
-//	gw := &gateway.Gateway{Settings: se, Adapter: adapter, Clock: clock, Log: log}
+//	gw := &gateway.Gateway{Settings: se, Adapter: adapter, Clock: clock, Boot: boottime.System{}, Log: log}
 //	err := gw.Run(ctx) // serves until ctx is canceled, then shuts down gracefully
 package gateway
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -53,13 +53,13 @@
 
 // fetchConfiguration reads the configuration from the store once and applies it.
 func (gw *Gateway) fetchConfiguration(ctx context.Context) error {
-	begun := gw.Boot.Now()
+	start := gw.Boot.Now()
 	list, _, err := gw.Adapter.Configurations.List(ctx)
 	if err != nil {
 		return err
 	}
 	sink := gw.configurationSink()
 	sink.Reset(list)
-	sink.Contact(begun)
+	sink.Contact(start)
 	return nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,7 +56,8 @@
 	// DecodeConfiguration decodes a configuration that another instance forwarded.
 	DecodeConfiguration func(source []byte) (*routing.Configuration, error)
 	Codec               Codec
-	// Engines returns the client of engines that sends its calls by a sender.
+	// Engines returns a client of the engines' control API that makes its calls
+	// with the given Sender.
 	Engines func(dispatch.Sender) Engines
 	// IDHeader is the header field in which endpoints echo the ID of a request.
 	IDHeader string
@@ -144,8 +145,8 @@
 // engineStatesStale reports whether the store may have failed to deliver an
 // engine's notice that it leaves.
 func (gw *Gateway) engineStatesStale() bool {
-	age, proven := gw.state.Age()
-	return proven && (age > staleAfter || gw.roster.Silent() || gw.relaySwitch.Silent())
+	age, confirmed := gw.state.Age()
+	return confirmed && (age > staleAfter || gw.roster.Silent() || gw.relaySwitch.Silent())
 }
 
 // build creates the components of the instance and returns its controllers.
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -6,7 +6,6 @@
 )
 
 // listeners are the open listeners of an instance. The metrics listener is nil
-// if metrics are not served. The metrics listener is nil
 // if metrics are not served.
 type listeners struct {
 	callers, readiness, metrics net.Listener
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -26,8 +26,8 @@
 // configuration recently enough for accepting keys, at least one endpoint is
 // known, and the instance is not shutting down.
 func (re *readiness) ready() bool {
-	age, proven := re.state.Age()
-	return !re.stopping.Load() && proven && age <= re.maxAges().Key && re.roster.View().Len() > 0
+	age, confirmed := re.state.Age()
+	return !re.stopping.Load() && confirmed && age <= re.maxAges().Key && re.roster.View().Len() > 0
 }
 
 // auxiliaryServer serves the readiness check or the metrics on a listener of its
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -26,9 +26,8 @@
 	// ConfigurationBound is the time within which a new configuration must be in
 	// effect. Zero means that there is no such bound.
 	ConfigurationBound time.Duration
-	// ShutdownTimeout is the time from SIGTERM to SIGKILL. Values of up to
-	// shutdownMargin select defaultShutdownTimeout. Values of up to
-	// shutdownMargin select defaultShutdownTimeout.
+	// ShutdownTimeout is the time from SIGTERM to SIGKILL. Values of up to 500 ms
+	// (shutdownMargin) select the default of 8 s.
 	ShutdownTimeout time.Duration
 	// RetryRatio, RetryWindow and RetryExtra are the retry budget of all instances
 	// together: within a window, RetryRatio retries per request and RetryExtra
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -39,18 +39,18 @@
 }
 
 // Contact implements feed.Sink.
-func (cs *configurationSink) Contact(begun time.Duration) { cs.state.Confirm(begun) }
+func (cs *configurationSink) Contact(start time.Duration) { cs.state.Confirm(start) }
 
 // endpointSink also tells the relay's change log how fresh the roster is.
 type endpointSink struct {
 	*roster.Roster
-	onAnswer func(begun time.Duration)
+	onAnswer func(start time.Duration)
 }
 
 // Contact implements feed.Sink.
-func (es *endpointSink) Contact(begun time.Duration) {
-	es.Roster.Contact(begun)
-	es.onAnswer(begun)
+func (es *endpointSink) Contact(start time.Duration) {
+	es.Roster.Contact(start)
+	es.onAnswer(start)
 }
 
 // Trouble implements feed.Sink.
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -11,7 +11,6 @@
 	// notice it. It is at most a third of the shutdown timeout.
 	notReadyDelay = 2600 * time.Millisecond
 	// shutdownMargin is kept free between the end of the shutdown and SIGKILL.
-	// shutdownMargin is kept free between the end of the shutdown and SIGKILL.
 	shutdownMargin = 500 * time.Millisecond
 	// defaultShutdownTimeout applies if the platform states no shutdown timeout.
 	defaultShutdownTimeout = 8 * time.Second
@@ -20,7 +19,7 @@
 // stop shuts the instance down gracefully: it reports not ready, waits for the
 // platform to notice, closes the listener and lets requests in flight finish.
 func (gw *Gateway) stop() {
-	begun := gw.Clock.Now()
+	start := gw.Clock.Now()
 	bound := gw.Settings.ShutdownTimeout
 	if bound <= shutdownMargin {
 		bound = defaultShutdownTimeout
@@ -29,8 +28,8 @@
 	gw.ready.stopping.Store(true)
 	gw.ingress.AnnounceShutdown()
 	gw.Clock.Sleep(min(notReadyDelay, bound/3))
-	ctx, cancel := context.WithTimeout(context.Background(), bound-shutdownMargin-gw.Clock.Since(begun))
+	ctx, cancel := context.WithTimeout(context.Background(), bound-shutdownMargin-gw.Clock.Since(start))
 	defer cancel()
 	gw.ingress.Stop(ctx)
-	gw.Log.Info().Str("event", "stopped").Dur("took", gw.Clock.Since(begun)).Msg("gateway: graceful shutdown ended")
+	gw.Log.Info().Str("event", "stopped").Dur("took", gw.Clock.Since(start)).Msg("gateway: graceful shutdown ended")
 }
--- a/internal/hangup/watcher.go
+++ b/internal/hangup/watcher.go
@@ -1,9 +1,10 @@
-// Package hangup notices callers that close their connection while they wait
-// for an answer. The HTTP server does not read from a connection while a
-// handler runs, so it would find out with the first write at the earliest.
+// Package hangup detects callers that close their connection while they wait for
+// an answer. The HTTP server does not read from a connection while a handler runs,
+// so it would not notice before the first write.
 //
-// One goroutine asks the kernel about all watched connections. Nothing is
-// read from them. A caller that closes only its sending side counts as gone.
+// One goroutine polls the kernel for the state of all watched connections. It reads
+// no data from them. A caller that closes only its sending side counts as
+// disconnected.
 //
 // # Usage
 //
@@ -26,8 +27,8 @@
 
 const (
 	defaultInterval = 200 * time.Millisecond
-	// closedEvents are what poll reports of a connection that the other side
-	// closed, also while bytes of it wait to be read.
+	// closedEvents are the events that poll reports for a connection that the
+	// other side has closed, even if it still has unread data.
 	closedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 )
 
@@ -35,7 +36,7 @@
 // watches nothing.
 type Watcher struct {
 	Clock clockwork.Clock
-	// Interval is the time between two looks; zero means 200 ms.
+	// Interval is the time between two polls. Zero means 200 ms.
 	Interval time.Duration
 
 	mu      sync.Mutex
@@ -43,14 +44,14 @@
 }
 
 type watch struct {
-	raw  syscall.RawConn
-	gone func()
+	raw     syscall.RawConn
+	onClose func()
 }
 
 // Name implements controller.Controller.
 func (wa *Watcher) Name() string { return "hangup" }
 
-// Run looks at all watched connections until ctx ends.
+// Run polls all watched connections until ctx ends.
 func (wa *Watcher) Run(ctx context.Context) error {
 	interval := wa.Interval
 	if interval == 0 {
@@ -64,20 +65,20 @@
 		case <-ctx.Done():
 			return nil
 		case <-ti.Chan():
-			list = wa.look(list[:0])
+			list = wa.poll(list[:0])
 		}
 	}
 }
 
-// Watch calls gone once if the other side closes conn before the returned
-// function is called. The call may still be under way when that returns.
-// Connections that are not of TCP are not watched.
-func (wa *Watcher) Watch(conn net.Conn, gone func()) (stop func()) {
+// Watch calls onClose once if the other side closes conn before stop is called.
+// When stop returns, a call of onClose may still be in progress. Connections that
+// have no file descriptor are not watched.
+func (wa *Watcher) Watch(conn net.Conn, onClose func()) (stop func()) {
 	raw := rawConn(conn)
 	if wa == nil || raw == nil {
 		return func() {}
 	}
-	wt := &watch{raw: raw, gone: gone}
+	wt := &watch{raw: raw, onClose: onClose}
 	wa.mu.Lock()
 	defer wa.mu.Unlock()
 	if wa.watches == nil {
@@ -95,7 +96,8 @@
 	return found
 }
 
-// rawConn returns the TCP connection below wrappers such as TLS.
+// rawConn returns the raw connection inside wrappers such as TLS, or nil if there
+// is none.
 func rawConn(conn net.Conn) syscall.RawConn {
 	for conn != nil {
 		if sc, isRaw := conn.(syscall.Conn); isRaw {
@@ -114,8 +116,9 @@
 	return nil
 }
 
-// look looks at all watched connections once, with list as scratch space.
-func (wa *Watcher) look(list []*watch) []*watch {
+// poll checks all watched connections once. It uses list, which must be empty, as
+// scratch space and returns it.
+func (wa *Watcher) poll(list []*watch) []*watch {
 	wa.mu.Lock()
 	for wt := range wa.watches {
 		list = append(list, wt)
@@ -123,14 +126,14 @@
 	wa.mu.Unlock()
 	for _, wt := range list {
 		if wt.closed() && wa.remove(wt) {
-			wt.gone()
+			wt.onClose()
 		}
 	}
 	return list
 }
 
-// closed tells whether the other side has closed the connection. One that
-// this side has closed is not of interest any more.
+// closed reports whether the other side has closed the connection. It returns
+// false if this side has closed it.
 func (wt *watch) closed() bool {
 	closed := false
 	_ = wt.raw.Control(func(fd uintptr) {
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// maxRetryAfterDivisor limits Retry-After to this fraction of the caller's
-// timeout. A longer delay would leave too little time for the answer.
+// maxRetryAfterDivisor limits Retry-After to the caller's timeout divided by this
+// number. A longer delay would leave too little time for the answer.
 const maxRetryAfterDivisor = 4
 
 func retryAfter(re *dispatch.Request, pause time.Duration) time.Duration {
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -83,8 +83,6 @@
 	return ln.Addr().String()
 }
 
-// start runs a server until the test ends. It knows the endpoint at address, or
-// none if address is empty. It returns the server and its URL.
 // start runs a server until the test ends. It knows the endpoint at address, or
 // none if address is empty. It returns the server and its URL.
 func start(t *testing.T, address string) (*Server, string) {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context can end.
+// Package pause provides a sleep that a context can interrupt.
 //
 // # Usage
 //
@@ -12,7 +12,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// For waits until the time is over or ctx ends.
+// For blocks for the duration wait or until ctx ends.
 func For(ctx context.Context, clock clockwork.Clock, wait time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,4 +1,4 @@
-// Package snapshot publishes immutable values to many readers without locks.
+// Package snapshot publishes immutable values to many readers without locking.
 //
 // # Usage
 //
@@ -6,13 +6,14 @@
 //	ho.Store(cfg)        // by the one controller that owns the value
 //	cfg := ho.Load()     // by any request, one atomic read
 //
-// A reader keeps the value that it loaded for as long as it needs a consistent
-// view; a writer never changes a value that it has published.
+// A reader uses one loaded value for as long as it needs a consistent view. A
+// writer never changes a value that it has published.
 package snapshot
 
 import "sync/atomic"
 
-// Holder holds the newest published value. The zero Holder holds none.
+// Holder holds the newest published value. The zero Holder holds none. It is safe
+// for concurrent use.
 type Holder[T any] struct {
 	current atomic.Pointer[T]
 }
@@ -20,11 +21,12 @@
 // Load returns the newest value, or nil if none has been published.
 func (ho *Holder[T]) Load() *T { return ho.current.Load() }
 
-// Store publishes a value.
+// Store publishes a value. The caller must not change the value afterwards.
 func (ho *Holder[T]) Store(value *T) { ho.current.Store(value) }
 
-// Advance publishes next if newer says that it comes after the current value.
-// It returns whether next was published. Concurrent calls never move back.
+// Advance publishes next if there is no current value or newer reports that next
+// comes after it. It returns whether next was published. Concurrent calls never
+// replace a value with an older one.
 func (ho *Holder[T]) Advance(next *T, newer func(next, current *T) bool) bool {
 	for {
 		current := ho.current.Load()
--- a/internal/steady/conn.go
+++ b/internal/steady/conn.go
@@ -1,6 +1,6 @@
-// Package steady bounds how long a caller that does not read may hold up a
-// writer, and how much the kernel keeps for it. A time for a whole answer
-// would cut long streams; this one is for each write.
+// Package steady limits how long a caller that does not read can block a writer,
+// and how much the kernel buffers for it. The timeout applies to each write,
+// because a timeout for a whole answer would interrupt long streams.
 //
 // # Usage
 //
@@ -14,18 +14,21 @@
 )
 
 const (
-	// DefaultTimeout is how long one write to a caller may block.
+	// DefaultTimeout is the usual timeout of one write to a caller.
 	DefaultTimeout = 15 * time.Second
-	// deadlineStep is how seldom the write deadline is moved, which saves a
-	// timer operation for each token.
+	// deadlineStep is the shortest time between two updates of the write deadline.
+	// It saves a timer operation for each token, and a write may block for up to
+	// this time beyond the timeout.
 	deadlineStep = time.Second
-	// callerSocketBytes bounds what the kernel holds for a slow caller.
+	// callerSocketBytes is the size of the kernel's send buffer. It limits the
+	// memory that a slow caller takes up.
 	callerSocketBytes = 64 << 10
 )
 
-// Listener gives each connection a bound on blocked writes.
+// Listener wraps a listener so that the writes to its connections time out.
 type Listener struct {
 	net.Listener
+	// Timeout is how long one write may block.
 	Timeout time.Duration
 }
 
@@ -41,27 +44,31 @@
 	return &Conn{Conn: conn, timeout: li.Timeout}, nil
 }
 
-// Conn fails a write that blocks for timeout.
+// Conn is a connection whose writes fail if they block for longer than the
+// listener's timeout.
 type Conn struct {
 	net.Conn
 	timeout time.Duration
-	moved   time.Time
-	// unread says that the caller still sends a request that was refused.
+	// deadlineSet is the time at which the write deadline was last updated.
+	deadlineSet time.Time
+	// unread is set if the caller may still be sending a request that was refused.
 	unread bool
 }
 
 const (
-	// drainTimeout and drainBytes bound what is read of a refused request.
+	// drainTimeout and drainBytes limit how much of a refused request is read and
+	// discarded.
 	drainTimeout = 500 * time.Millisecond
 	drainBytes   = 1 << 20
 )
 
-// MarkUnread tells that the caller still sends a request that was refused.
+// MarkUnread records that the caller may still be sending a request that was
+// refused. Close then reads on for a while.
 func (co *Conn) MarkUnread() { co.unread = true }
 
-// Close implements net.Conn. A connection with unread data is read on for a
-// while: closed at once, it would be reset, and the caller could lose the
-// refusal before it has read it.
+// Close implements net.Conn. If MarkUnread was called, it first closes the sending
+// side and discards incoming data for a while. Closing a connection with unread
+// data would reset it, and the caller could lose the refusal before reading it.
 func (co *Conn) Close() error {
 	if half, ok := co.Conn.(interface{ CloseWrite() error }); ok && co.unread && half.CloseWrite() == nil {
 		_ = co.SetReadDeadline(time.Now().Add(drainTimeout))
@@ -70,10 +77,10 @@
 	return co.Conn.Close()
 }
 
-// Write implements net.Conn. One goroutine writes at a time.
+// Write implements net.Conn. It must not be called concurrently.
 func (co *Conn) Write(data []byte) (int, error) {
-	if now := time.Now(); now.Sub(co.moved) > deadlineStep {
-		co.moved = now
+	if now := time.Now(); now.Sub(co.deadlineSet) > deadlineStep {
+		co.deadlineSet = now
 		if err := co.SetWriteDeadline(now.Add(co.timeout + deadlineStep)); err != nil {
 			return 0, err
 		}
@@ -81,5 +88,5 @@
 	return co.Conn.Write(data)
 }
 
-// NetConn returns the connection below.
+// NetConn returns the wrapped connection.
 func (co *Conn) NetConn() net.Conn { return co.Conn }
--- a/internal/steady/log.go
+++ b/internal/steady/log.go
@@ -1,7 +1,8 @@
 package steady
 
-// QuietLogger drops an HTTP library's own lines about broken connections: they
-// name no request, and what concerns one is logged where it is decided.
+// QuietLogger discards the HTTP library's log lines about broken connections. They
+// name no request, and errors that concern a request are logged where they are
+// handled.
 type QuietLogger struct{}
 
 // Printf implements fasthttp.Logger.
--- a/internal/trace/loss.go
+++ b/internal/trace/loss.go
@@ -9,72 +9,80 @@
 	"strings"
 )
 
-// Ending says what became of a generation.
+// Ending is the way in which a generation ended.
 type Ending string
 
-// The endings of generations; those of refused ones are Refused and the reason.
+// The endings of generations. That of a refused generation is RefusedPrefix
+// followed by the reason of the refusal.
 const (
-	Delivered Ending = "delivered"
-	// Paused ones are whole, with a pause over their objective.
-	Paused Ending = "delivered_paused"
-	// EngineLeft and EngineLost ended with their engine, with and without a notice
-	// that had reached the instance.
-	EngineLeft Ending = "engine_left"
-	EngineLost Ending = "engine_lost"
-	// PathCut means that the connection to an engine of another zone was reset.
-	PathCut Ending = "path_cut"
-	// CallerGone means that the caller left, or that its time was over.
-	CallerGone Ending = "caller_gone"
-	// InstanceEnded means that the instance started anew meanwhile.
-	InstanceEnded Ending = "instance_ended"
-	// Open means that the logs end before the generation.
-	Open Ending = "open"
-	// Refused stands before the reason.
-	Refused = "refused_"
+	EndingDelivered Ending = "delivered"
+	// EndingPaused means that all events were delivered, with a gap between two
+	// events that exceeded the route's objective.
+	EndingPaused Ending = "delivered_paused"
+	// EndingEngineDrained and EndingEngineLost mean that the engine ended before
+	// the generation. The instance had received the engine's notice before the
+	// stream broke in the first case, and had not in the second.
+	EndingEngineDrained Ending = "engine_left"
+	EndingEngineLost    Ending = "engine_lost"
+	// EndingPathInterrupted means that the connection to an engine of another zone
+	// was reset.
+	EndingPathInterrupted Ending = "path_cut"
+	// EndingCallerGone means that the caller disconnected or its timeout expired.
+	EndingCallerGone Ending = "caller_gone"
+	// EndingInstanceRestarted means that the instance restarted during the
+	// generation.
+	EndingInstanceRestarted Ending = "instance_ended"
+	// EndingOpen means that the logs end before the generation.
+	EndingOpen Ending = "open"
+	// RefusedPrefix precedes the reason of a refusal.
+	RefusedPrefix = "refused_"
 )
 
-// Row is one kind of ending with how often it came.
+// Row counts the generations with one ending.
 type Row struct {
 	Ending Ending
 	Count  int
-	// Events is how many events callers had got, and Example a request's ID.
+	// Events is the number of events that callers received in all of them, and
+	// Example the ID of one of the requests.
 	Events  int
 	Example string
 }
 
-// generation is one that logs tell of.
+// generation collects what the logs contain about one generation. Times are in
+// Unix milliseconds.
 type generation struct {
-	request  string
-	instance string
-	endpoint string
-	begun    int64
-	ended    int64
-	ending   Ending
-	events   int
-	paused   bool
+	request   string
+	instance  string
+	endpoint  string
+	startTime int64
+	endTime   int64
+	ending    Ending
+	events    int
+	paused    bool
 }
 
-// losses gathers what logs tell.
-type losses struct {
-	generations map[string]*generation // by instance and request
-	left        map[string]int64       // by instance and endpoint
-	zones       map[string]string      // by endpoint
-	homes       map[string]string      // zones by instance
-	starts      map[string][]int64     // by instance
+// lossCounter collects generations and the events that explain their endings.
+type lossCounter struct {
+	generations   map[string]*generation // by instance and request
+	departures    map[string]int64       // time of the first notice, by instance and endpoint
+	endpointZones map[string]string      // by endpoint
+	instanceZones map[string]string      // by instance
+	starts        map[string][]int64     // by instance
 }
 
-// Losses reads logs of instances, in any order, and returns what became of the
-// generations that were placed at engines, the most frequent first.
+// Losses reads the logs of instances and counts the endings of the generations that
+// were placed on engines. The logs may be in any order. The most frequent ending
+// comes first.
 func Losses(logs io.Reader) ([]Row, error) {
-	lo := &losses{
-		generations: make(map[string]*generation), left: make(map[string]int64), zones: make(map[string]string),
-		homes: make(map[string]string), starts: make(map[string][]int64),
+	lo := &lossCounter{
+		generations: make(map[string]*generation), departures: make(map[string]int64), endpointZones: make(map[string]string),
+		instanceZones: make(map[string]string), starts: make(map[string][]int64),
 	}
 	sc := bufio.NewScanner(logs)
-	sc.Buffer(make([]byte, 0, lineBytes/16), lineBytes)
+	sc.Buffer(make([]byte, 0, maxLineBytes/16), maxLineBytes)
 	for sc.Scan() {
 		if li, found := parse(sc.Bytes()); found {
-			lo.take(li)
+			lo.add(li)
 		}
 	}
 	if err := sc.Err(); err != nil {
@@ -83,35 +91,35 @@
 	return lo.rows(), nil
 }
 
-// take takes in one line.
-func (lo *losses) take(li Line) {
+// add processes one line.
+func (lo *lossCounter) add(li Line) {
 	switch li.Event {
 	case "started":
-		lo.homes[li.Instance] = li.Zone
+		lo.instanceZones[li.Instance] = li.Zone
 		lo.starts[li.Instance] = append(lo.starts[li.Instance], li.Time)
 		return
 	case "endpoint_leaves", "endpoint_gone", "engine_leaves":
 		key := li.Instance + "/" + li.Endpoint
-		if before, known := lo.left[key]; !known || li.Time < before {
-			lo.left[key] = li.Time
+		if earliest, known := lo.departures[key]; !known || li.Time < earliest {
+			lo.departures[key] = li.Time
 		}
 	case "placed":
 		key := li.Instance + "/" + li.Request
 		if lo.generations[key] == nil {
-			lo.generations[key] = &generation{request: li.Request, instance: li.Instance, begun: li.Time}
+			lo.generations[key] = &generation{request: li.Request, instance: li.Instance, startTime: li.Time}
 		}
 		lo.generations[key].endpoint = li.Endpoint
 	}
 	if li.Zone != "" && li.Endpoint != "" {
-		lo.zones[li.Endpoint] = li.Zone
+		lo.endpointZones[li.Endpoint] = li.Zone
 	}
 	if ge := lo.generations[li.Instance+"/"+li.Request]; ge != nil {
-		ge.take(li)
+		ge.add(li)
 	}
 }
 
-// take takes in one line about the generation.
-func (ge *generation) take(li Line) {
+// add processes one line about the generation.
+func (ge *generation) add(li Line) {
 	switch li.Event {
 	case "resumed":
 		ge.endpoint = li.Target
@@ -120,49 +128,50 @@
 		ge.paused = true
 		return
 	case "delivered":
-		ge.ending = Delivered
+		ge.ending = EndingDelivered
 	case "stream_broken":
-		ge.ending = EngineLost
+		ge.ending = EndingEngineLost
 		if strings.Contains(li.Cause, "reset by peer") {
-			ge.ending = PathCut
+			ge.ending = EndingPathInterrupted
 		}
 	case "stream_given_up":
-		ge.ending = CallerGone
+		ge.ending = EndingCallerGone
 	case "refused":
-		ge.ending = Ending(Refused + li.Reason)
+		ge.ending = Ending(RefusedPrefix + li.Reason)
 	default:
 		return
 	}
-	ge.ended, ge.events = li.Time, li.Events
+	ge.endTime, ge.events = li.Time, li.Events
 }
 
-// settle decides what the lines about others make of an ending.
-func (lo *losses) settle(ge *generation) Ending {
+// finalEnding returns the ending of a generation, taking into account the lines
+// about its engine, its zone and its instance.
+func (lo *lossCounter) finalEnding(ge *generation) Ending {
 	switch ge.ending {
-	case Delivered:
+	case EndingDelivered:
 		if ge.paused {
-			return Paused
+			return EndingPaused
 		}
-	case EngineLost, PathCut:
-		if left, known := lo.left[ge.instance+"/"+ge.endpoint]; known && left <= ge.ended {
-			return EngineLeft
+	case EndingEngineLost, EndingPathInterrupted:
+		if departure, known := lo.departures[ge.instance+"/"+ge.endpoint]; known && departure <= ge.endTime {
+			return EndingEngineDrained
 		}
-		if ge.ending == PathCut && lo.zones[ge.endpoint] == lo.homes[ge.instance] {
-			return EngineLost
+		if ge.ending == EndingPathInterrupted && lo.endpointZones[ge.endpoint] == lo.instanceZones[ge.instance] {
+			return EndingEngineLost
 		}
 	case "":
-		if slices.ContainsFunc(lo.starts[ge.instance], func(start int64) bool { return start > ge.begun }) {
-			return InstanceEnded
+		if slices.ContainsFunc(lo.starts[ge.instance], func(start int64) bool { return start > ge.startTime }) {
+			return EndingInstanceRestarted
 		}
-		return Open
+		return EndingOpen
 	}
 	return ge.ending
 }
 
-func (lo *losses) rows() []Row {
+func (lo *lossCounter) rows() []Row {
 	byEnding := make(map[Ending]*Row)
 	for _, ge := range lo.generations {
-		ending := lo.settle(ge)
+		ending := lo.finalEnding(ge)
 		ro := byEnding[ending]
 		if ro == nil {
 			ro = &Row{Ending: ending, Example: ge.request}
--- a/internal/trace/loss_test.go
+++ b/internal/trace/loss_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// Each request's ID says how it should be counted.
+// lossLogs has one request per case. The ID of a request tells its expected ending.
 const lossLogs = `{"instance":"i1","event":"started","zone":"a","time":100}
 {"instance":"i1","event":"placed","request":"delivered","endpoint":"e1","zone":"a","time":1000}
 {"instance":"i1","event":"delivered","request":"delivered","endpoint":"e1","events":7,"time":2000}
@@ -40,14 +40,14 @@
 	rows, err := Losses(strings.NewReader(lossLogs))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(rows).To(Equal([]Row{
-		{Ending: EngineLost, Count: 2, Example: "lost"},
-		{Ending: CallerGone, Count: 1, Example: "given up"},
-		{Ending: Delivered, Count: 1, Events: 7, Example: "delivered"},
-		{Ending: Paused, Count: 1, Events: 7, Example: "paused"},
-		{Ending: EngineLeft, Count: 1, Events: 5, Example: "left"},
-		{Ending: InstanceEnded, Count: 1, Example: "with its instance"},
-		{Ending: Open, Count: 1, Example: "open"},
-		{Ending: PathCut, Count: 1, Example: "cut"},
+		{Ending: EndingEngineLost, Count: 2, Example: "lost"},
+		{Ending: EndingCallerGone, Count: 1, Example: "given up"},
+		{Ending: EndingDelivered, Count: 1, Events: 7, Example: "delivered"},
+		{Ending: EndingPaused, Count: 1, Events: 7, Example: "paused"},
+		{Ending: EndingEngineDrained, Count: 1, Events: 5, Example: "left"},
+		{Ending: EndingInstanceRestarted, Count: 1, Example: "with its instance"},
+		{Ending: EndingOpen, Count: 1, Example: "open"},
+		{Ending: EndingPathInterrupted, Count: 1, Example: "cut"},
 		{Ending: "refused_endpoint_lost", Count: 1, Example: "refused"},
 	}))
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,14 +1,14 @@
-// Package trace finds in the logs of instances what happened to one request:
-// its own lines, and the lines about the endpoints and the instance that it
-// met shortly before.
+// Package trace finds in the logs of instances what happened to one request: the
+// request's own lines, and lines about its instance and its endpoints from up to
+// 5 s before.
 //
 // # Usage
 //
-//	st, err := trace.Read(file, "9c41d07be2a35f68")
-//	for _, li := range st.Lines { fmt.Println(li) }
-//	fmt.Println(st.Cause())
+//	tr, err := trace.Read(file, "9c41d07be2a35f68")
+//	for _, li := range tr.Lines { fmt.Println(li) }
+//	fmt.Println(tr.Cause())
 //
-// Losses counts what became of all generations, which shows where to look:
+// Losses counts how all generations ended, which shows what to investigate:
 //
 //	rows, err := trace.Losses(file)
 package trace
@@ -25,7 +25,7 @@
 	"time"
 )
 
-// Line is one line of a log.
+// Line is one structured log line.
 type Line struct {
 	// Time is in Unix milliseconds, by the clock of the instance.
 	Time     int64  `json:"time"`
@@ -44,11 +44,11 @@
 	Zone     string `json:"zone"`
 	Events   int    `json:"events"`
 	Message  string `json:"message"`
-	// Raw is the line as it stands in the log.
+	// Raw is the JSON text of the line.
 	Raw string `json:"-"`
 }
 
-// String returns the line for a person.
+// String returns the line in a form for human readers.
 func (li Line) String() string {
 	at := time.UnixMilli(li.Time).UTC().Format("15:04:05.000")
 	parts := []string{at, li.Instance, li.Event}
@@ -63,51 +63,52 @@
 	return strings.Join(parts, " ")
 }
 
-// Story is what the logs say of a request.
-type Story struct {
+// Trace is the part of the logs that concerns one request.
+type Trace struct {
 	Request string
-	// Lines are in the order of their times.
+	// Lines are sorted by time.
 	Lines []Line
 }
 
 const (
-	// before is how long before a request's first line others are of interest.
-	before = 5 * time.Second
-	// lineBytes bounds one line of a log.
-	lineBytes = 1 << 20
+	// lookBack is the time before the first line of a request from which lines
+	// about its instance and endpoints are included.
+	lookBack = 5 * time.Second
+	// maxLineBytes limits one line of a log.
+	maxLineBytes = 1 << 20
 )
 
-// around are the events about endpoints and instances that can explain a
-// failure.
-var around = map[string]bool{
+// contextEvents are the events about endpoints and instances that can explain the
+// failure of a request.
+var contextEvents = map[string]bool{
 	"endpoint_leaves": true, "endpoint_gone": true, "endpoint_held": true, "crash_suspected": true, "dependency_lost": true,
 	"dependency_regained": true, "engine_leaves": true, "reader_left": true, "configuration": true, "evacuations": true, "stopping": true, "stop_cuts": true,
 	"log_dropped": true,
 }
 
-// Read reads logs and returns the story of a request. Lines that are no log
-// lines are passed over, also what stands before a line's first brace.
-func Read(logs io.Reader, request string) (Story, error) {
-	st := Story{Request: request}
+// Read reads logs and returns the trace of a request. It skips lines that are not
+// structured log lines, and any prefix before the first brace of a line.
+func Read(logs io.Reader, request string) (Trace, error) {
+	tr := Trace{Request: request}
 	var others []Line
 	sc := bufio.NewScanner(logs)
-	sc.Buffer(make([]byte, 0, lineBytes/16), lineBytes)
+	sc.Buffer(make([]byte, 0, maxLineBytes/16), maxLineBytes)
 	for sc.Scan() {
 		li, found := parse(sc.Bytes())
 		switch {
 		case !found:
 		case li.Request == request:
-			st.Lines = append(st.Lines, li)
-		case around[li.Event]:
+			tr.Lines = append(tr.Lines, li)
+		case contextEvents[li.Event]:
 			others = append(others, li)
 		}
 	}
 	if err := sc.Err(); err != nil {
-		return st, fmt.Errorf("trace: %w", err)
+		return tr, fmt.Errorf("trace: %w", err)
 	}
-	st.surround(others)
-	slices.SortStableFunc(st.Lines, func(a, b Line) int { return cmp.Compare(a.Time, b.Time) })
-	return st, nil
+	tr.addContext(others)
+	slices.SortStableFunc(tr.Lines, func(a, b Line) int { return cmp.Compare(a.Time, b.Time) })
+	return tr, nil
 }
 
 func parse(text []byte) (Line, bool) {
@@ -120,34 +121,36 @@
 	return li, true
 }
 
-// surround adds the lines of the request's instance about what it met.
-func (st *Story) surround(others []Line) {
-	if len(st.Lines) == 0 {
+// addContext adds those of others that the request's instances logged about
+// themselves or about the request's endpoints shortly before or during the request.
+func (tr *Trace) addContext(others []Line) {
+	if len(tr.Lines) == 0 {
 		return
 	}
-	first, last := st.Lines[0].Time, st.Lines[0].Time
+	first, last := tr.Lines[0].Time, tr.Lines[0].Time
 	instances, endpoints := make(map[string]bool), make(map[string]bool)
-	for _, li := range st.Lines {
+	for _, li := range tr.Lines {
 		first, last = min(first, li.Time), max(last, li.Time)
 		instances[li.Instance] = true
 		endpoints[li.Endpoint], endpoints[li.Target] = true, true
 	}
 	delete(endpoints, "")
 	for _, li := range others {
-		if li.Time < first-before.Milliseconds() || li.Time > last || !instances[li.Instance] {
+		if li.Time < first-lookBack.Milliseconds() || li.Time > last || !instances[li.Instance] {
 			continue
 		}
 		if li.Endpoint == "" || endpoints[li.Endpoint] {
-			st.Lines = append(st.Lines, li)
+			tr.Lines = append(tr.Lines, li)
 		}
 	}
 }
 
-// Cause says in one sentence how the request ended, by its last telling line.
-func (st Story) Cause() string {
-	for ix := len(st.Lines) - 1; ix >= 0; ix-- {
-		li := st.Lines[ix]
-		if li.Request != st.Request {
+// Cause describes in one sentence how the request ended, by the last of its lines
+// that tells an ending.
+func (tr Trace) Cause() string {
+	for ix := len(tr.Lines) - 1; ix >= 0; ix-- {
+		li := tr.Lines[ix]
+		if li.Request != tr.Request {
 			continue
 		}
 		switch li.Event {
@@ -156,7 +159,7 @@
 		case "refused":
 			return fmt.Sprintf("The instance refused it: %s (%s); %s.", li.Reason, li.Outcome, li.Detail)
 		case "stream_broken":
-			return "The stream broke at " + li.Endpoint + ": " + li.Cause + st.left(li) + "."
+			return "The stream broke at " + li.Endpoint + ": " + li.Cause + tr.breakDetail(li) + "."
 		case "stream_given_up":
 			return "The caller left, or its time was over, while the stream ran at " + li.Endpoint + "."
 		}
@@ -164,10 +167,11 @@
 	return "The logs do not say how it ended; a plain call that was answered has no line."
 }
 
-// left adds whether the endpoint had said that it leaves, and how the move went.
-func (st Story) left(end Line) string {
+// breakDetail describes the events before the broken stream of line end: whether
+// the endpoint had announced that it leaves, and why a migration failed.
+func (tr Trace) breakDetail(end Line) string {
 	text := ""
-	for _, li := range st.Lines {
+	for _, li := range tr.Lines {
 		if li.Time > end.Time {
 			break
 		}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -20,8 +20,8 @@
 {"level":"info","instance":"edge-1","event":"attempt_failed","request":"r3","endpoint":"e5","how":"failed_there","time":9000}
 `
 
-// The three walks of docs/OPERATIONS.md: a stream that was cut, a booking that
-// was refused, a read that was late.
+// Covers the three examples of docs/OPERATIONS.md: a broken stream, a refused
+// booking and a read that timed out.
 func TestWalks(t *testing.T) {
 	for _, ca := range []struct {
 		request string
@@ -35,14 +35,14 @@
 	} {
 		t.Run(ca.request, func(t *testing.T) {
 			g := NewWithT(t)
-			st, err := Read(strings.NewReader(logs), ca.request)
+			tr, err := Read(strings.NewReader(logs), ca.request)
 			g.Expect(err).NotTo(HaveOccurred())
 			var events []string
-			for _, li := range st.Lines {
+			for _, li := range tr.Lines {
 				events = append(events, li.Event)
 			}
 			g.Expect(events).To(HaveExactElements(ca.events))
-			g.Expect(st.Cause()).To(Equal(ca.cause))
+			g.Expect(tr.Cause()).To(Equal(ca.cause))
 		})
 	}
 }
@@ -58,7 +58,7 @@
 	f.Add([]byte(`x {"event":"refused","time":1}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if li, found := parse(data); found && li.Event == "" {
-			t.Error("a line without an event")
+			t.Error("parse accepted a line without an event")
 		}
 	})
 }
