--- a/internal/intent/doc.go
+++ b/internal/intent/doc.go
@@ -1,11 +1,13 @@
-// Package intent is what an operator wants: a file in JSON with comments that
-// lists actions on halves, zones, teams, services, endpoints and instances.
+// Package intent decodes intent files. An intent is an operator's request for
+// changes to the fleet, written as JSON with comments: a list of actions on
+// halves, zones, teams, services, endpoints and instances.
 //
 // # Usage
 //
 //	in, err := intent.Parse("zone.hujson", data) // document.Faults
 //	ta, err := in.Target(configuration)          // document.Faults
-//	for _, st := range ta.Stages { ... }         // configurations, one after the other
+//	changes := plan.Diff(configuration, ta.Final)
+//	for _, st := range ta.Stops { ... }          // instances to stop, one after the other
 //
-// An intent changes nothing. The package plan turns its target into steps.
+// Decoding an intent changes nothing. Package plan turns its target into steps.
 package intent
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -12,47 +12,53 @@
 
 // Intent is the content of an intent file.
 type Intent struct {
-	// Reason is shown with the plan.
+	// Reason is a text for operators that is shown with the plan.
 	Reason string `json:"reason,omitempty"`
-	// Actions are carried out together where one does not wait for another.
+	// Actions are the requested changes. Those to the configuration take effect
+	// together, except for the ones that must wait until an endpoint is idle.
 	Actions []Action `json:"actions"`
 
 	source *document.Source
 }
 
-// Action is one thing to do; exactly one field is set. A set action adds the
-// object, or changes the fields that it names.
+// Action is one requested change. Exactly one field is set. An action whose name
+// begins with Set adds an object, or changes only the listed fields of an
+// existing one.
 type Action struct {
 	SetHalf     *Fields[kind.Half]     `json:"set_half,omitempty"`
 	SetZone     *Fields[kind.Zone]     `json:"set_zone,omitempty"`
 	SetTeam     *Fields[kind.Team]     `json:"set_team,omitempty"`
 	SetService  *Fields[kind.Service]  `json:"set_service,omitempty"`
 	SetEndpoint *Fields[kind.Endpoint] `json:"set_endpoint,omitempty"`
-	// RemoveEndpoint drains an endpoint and then removes it.
+	// RemoveEndpoint is the name of an endpoint to drain and then remove.
 	RemoveEndpoint string  `json:"remove_endpoint,omitempty"`
 	Assign         *Assign `json:"assign,omitempty"`
-	// TakeZoneOut ends new work in an availability zone.
+	// TakeZoneOut is the name of an availability zone that is to receive no new
+	// work.
 	TakeZoneOut     string `json:"take_zone_out,omitempty"`
 	BringZoneBack   string `json:"bring_zone_back,omitempty"`
 	DrainEndpoint   string `json:"drain_endpoint,omitempty"`
 	UndrainEndpoint string `json:"undrain_endpoint,omitempty"`
-	// StopInstance ends an entry instance without cutting an answer.
+	// StopInstance is the name of an entry instance to shut down gracefully, so
+	// that its answers in progress are completed.
 	StopInstance string `json:"stop_instance,omitempty"`
-	// RollInstance stops one and waits for another to take its place.
+	// RollInstance is the name of an entry instance to shut down gracefully, with
+	// a wait for its replacement.
 	RollInstance string `json:"roll_instance,omitempty"`
 }
 
-// Assign gives one object to a half. Exactly one of the kinds is named.
+// Assign assigns one object to a half. Exactly one of Endpoint, Zone, Team and
+// Service is set.
 type Assign struct {
 	Endpoint string `json:"endpoint,omitempty"`
 	Zone     string `json:"zone,omitempty"`
 	Team     string `json:"team,omitempty"`
 	Service  string `json:"service,omitempty"`
-	// Half is the half's name; empty shares the object between both.
+	// Half is the name of the half. If it is empty, both halves share the object.
 	Half string `json:"half"`
 }
 
-// Fields are the fields of an object that an action sets.
+// Fields holds the fields of an object that an action sets, as JSON.
 type Fields[T any] struct {
 	Name string
 	raw  json.RawMessage
@@ -61,7 +67,8 @@
 // Shape implements document.Shaped.
 func (Fields[T]) Shape() reflect.Type { return reflect.TypeFor[T]() }
 
-// UnmarshalJSON keeps the fields until the object that they change is known.
+// UnmarshalJSON stores the fields undecoded, since they are decoded over the
+// current values of the object that they change.
 func (fi *Fields[T]) UnmarshalJSON(data []byte) error {
 	var named struct {
 		Name string `json:"name"`
@@ -76,7 +83,8 @@
 // MarshalJSON returns the fields as they were given.
 func (fi Fields[T]) MarshalJSON() ([]byte, error) { return fi.raw, nil }
 
-// Parse decodes an intent file. The file's name is only used in faults.
+// Parse decodes an intent file. The name of the file is used only in errors,
+// which are of type document.Faults.
 func Parse(file string, data []byte) (Intent, error) {
 	var in Intent
 	de := document.Decoder{File: file, Root: "intent", Noun: "a field"}
@@ -96,7 +104,7 @@
 	return in, so.Err()
 }
 
-// set returns the JSON names of the fields that are set.
+// set returns the JSON names of the fields of the action that are set.
 func (ac Action) set() []string {
 	var names []string
 	va := reflect.ValueOf(ac)
--- a/internal/intent/target.go
+++ b/internal/intent/target.go
@@ -10,53 +10,58 @@
 // Stop is an entry instance to stop.
 type Stop struct {
 	Instance string
-	// Replace waits for another instance to take its place.
+	// Replace requests a wait until a new instance is live in the same zone.
 	Replace bool
 }
 
-// Target is what an intent leads to.
+// Target is the outcome of an intent: the configurations to publish and the
+// instances to stop.
 type Target struct {
-	// First is the configuration to put in force at once: it ends new work
-	// where something is to move.
-	First *kind.Configuration
-	// Idle are endpoints that must have finished their work before Last.
-	Idle []string
-	// Last is the configuration at the end; the same as First if nothing moves.
-	Last *kind.Configuration
-	// Quiet are the zones that are taken out, whose work is let finish.
-	Quiet []string
-	// Stops are the instances to stop, one after the other.
+	// Interim is the configuration to publish at once. It contains the changes
+	// that need not wait and drains the endpoints to be moved or removed.
+	Interim *kind.Configuration
+	// DrainEndpoints are the endpoints that must be idle before Final is
+	// published.
+	DrainEndpoints []string
+	// Final is the configuration at the end. It has the same content as Interim
+	// if no endpoint is moved or removed.
+	Final *kind.Configuration
+	// DrainZones are the zones that are taken out of service and whose work in
+	// progress is to finish.
+	DrainZones []string
+	// Stops are the instances to stop, in this order.
 	Stops []Stop
 }
 
-// errNoObject says that an action names an object that does not exist.
+// errNoObject is the error of an action that names an object that does not
+// exist.
 type errNoObject struct{ kind, name string }
 
 // Error implements error.
 func (er errNoObject) Error() string { return "no " + er.kind + " is named " + er.name }
 
-// resolver carries out the actions of an intent on configurations.
+// resolver applies the actions of an intent to the configurations of a Target.
 type resolver struct {
 	Target
-	// path is the field of the action at hand.
+	// path is the path of the current action in the file, for errors.
 	path string
 }
 
-// Target works out what the intent leads to from a configuration. An error is
-// of type document.Faults.
+// Target applies the actions of the intent to a configuration. The error is of
+// type document.Faults and lists the problems of all actions.
 func (in Intent) Target(cf *kind.Configuration) (Target, error) {
-	re := &resolver{Target: Target{First: cf, Last: cf}}
+	re := &resolver{Target: Target{Interim: cf, Final: cf}}
 	for ix, ac := range in.Actions {
 		re.path = fmt.Sprintf("actions[%d].%s", ix, ac.set()[0])
-		if err := re.act(ac); err != nil {
-			in.source.Add(re.field(err), problem(err))
+		if err := re.apply(ac); err != nil {
+			in.source.Add(re.fieldPath(err), errorDetail(err))
 		}
 	}
 	return re.Target, in.source.Err()
 }
 
-// field returns the path of the field that an error is about.
-func (re *resolver) field(err error) string {
+// fieldPath returns the path of the field that an error refers to.
+func (re *resolver) fieldPath(err error) string {
 	var er *kind.Error
 	if errors.As(err, &er) && er.Field != "" && er.Field != "json" {
 		return re.path + "." + er.Field
@@ -64,7 +69,7 @@
 	return re.path
 }
 
-func problem(err error) string {
+func errorDetail(err error) string {
 	var er *kind.Error
 	if errors.As(err, &er) {
 		return er.Detail
@@ -72,20 +77,20 @@
 	return err.Error()
 }
 
-func (re *resolver) act(ac Action) error {
+func (re *resolver) apply(ac Action) error {
 	switch {
 	case ac.SetHalf != nil:
 		ha, err := kind.Half{}.WithFields(ac.SetHalf.raw)
-		return re.both(err, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithHalf(ha) })
+		return re.changeBoth(err, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithHalf(ha) })
 	case ac.SetZone != nil:
-		zo, err := over(kind.DefaultZone, re.Last.Zone, ac.SetZone.Name).WithFields(ac.SetZone.raw)
-		return re.both(err, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithZone(zo) })
+		zo, err := currentOr(kind.DefaultZone, re.Final.Zone, ac.SetZone.Name).WithFields(ac.SetZone.raw)
+		return re.changeBoth(err, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithZone(zo) })
 	case ac.SetTeam != nil:
-		te, err := over(kind.DefaultTeam, re.Last.Team, ac.SetTeam.Name).WithFields(ac.SetTeam.raw)
-		return re.both(err, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithTeam(te) })
+		te, err := currentOr(kind.DefaultTeam, re.Final.Team, ac.SetTeam.Name).WithFields(ac.SetTeam.raw)
+		return re.changeBoth(err, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithTeam(te) })
 	case ac.SetService != nil:
-		se, err := over(kind.Service{}, re.Last.Service, ac.SetService.Name).WithFields(ac.SetService.raw)
-		return re.both(err, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithService(se) })
+		se, err := currentOr(kind.Service{}, re.Final.Service, ac.SetService.Name).WithFields(ac.SetService.raw)
+		return re.changeBoth(err, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithService(se) })
 	case ac.SetEndpoint != nil:
 		return re.setEndpoint(ac.SetEndpoint)
 	case ac.Assign != nil:
@@ -97,19 +102,19 @@
 		re.Stops = append(re.Stops, Stop{Instance: ac.RollInstance, Replace: true})
 		return nil
 	default:
-		return re.actOnState(ac)
+		return re.applyState(ac)
 	}
 }
 
-func (re *resolver) actOnState(ac Action) error {
+func (re *resolver) applyState(ac Action) error {
 	switch {
 	case ac.TakeZoneOut != "":
-		re.Quiet = append(re.Quiet, ac.TakeZoneOut)
+		re.DrainZones = append(re.DrainZones, ac.TakeZoneOut)
 		return re.zoneState(ac.TakeZoneOut, kind.ZoneOut)
 	case ac.BringZoneBack != "":
 		return re.zoneState(ac.BringZoneBack, kind.ZoneServing)
 	case ac.DrainEndpoint != "":
-		re.Idle = append(re.Idle, ac.DrainEndpoint)
+		re.DrainEndpoints = append(re.DrainEndpoints, ac.DrainEndpoint)
 		return re.endpointState(ac.DrainEndpoint, kind.EndpointDraining)
 	case ac.UndrainEndpoint != "":
 		return re.endpointState(ac.UndrainEndpoint, kind.EndpointServing)
@@ -118,40 +123,41 @@
 	}
 }
 
-// over returns the object that a set action changes, or the default.
-func over[T any](initial T, find func(string) (T, bool), name string) T {
+// currentOr returns the object with the name, or fallback if there is none.
+func currentOr[T any](fallback T, find func(string) (T, bool), name string) T {
 	if current, found := find(name); found {
 		return current
 	}
-	return initial
+	return fallback
 }
 
-// change is one change of a configuration.
+// change returns a configuration with one change applied.
 type change func(*kind.Configuration) (*kind.Configuration, error)
 
-// both makes a change that waits for nothing.
-func (re *resolver) both(err error, ch change) error {
+// changeBoth applies a change that need not wait for an endpoint to be idle. It
+// returns err, the error of preparing the change, if that is not nil.
+func (re *resolver) changeBoth(err error, ch change) error {
 	if err != nil {
 		return err
 	}
-	if err := re.first(ch); err != nil {
+	if err := re.changeInterim(ch); err != nil {
 		return err
 	}
-	return re.last(ch)
+	return re.changeFinal(ch)
 }
 
-func (re *resolver) first(ch change) error {
-	next, err := ch(re.First)
+func (re *resolver) changeInterim(ch change) error {
+	next, err := ch(re.Interim)
 	if err == nil {
-		re.First = next
+		re.Interim = next
 	}
 	return err
 }
 
-func (re *resolver) last(ch change) error {
-	next, err := ch(re.Last)
+func (re *resolver) changeFinal(ch change) error {
+	next, err := ch(re.Final)
 	if err == nil {
-		re.Last = next
+		re.Final = next
 	}
 	return err
 }
@@ -160,19 +166,20 @@
 	return func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithEndpoint(en) }
 }
 
-// moving ends new work at an endpoint until it is idle, then makes the change.
-func (re *resolver) moving(en kind.Endpoint, ch change) error {
-	if err := re.first(withEndpoint(en.WithState(kind.EndpointDraining))); err != nil {
+// drainThenChange drains the endpoint in Interim and applies the change in Final
+// only, so that the change waits until the endpoint is idle.
+func (re *resolver) drainThenChange(en kind.Endpoint, ch change) error {
+	if err := re.changeInterim(withEndpoint(en.WithState(kind.EndpointDraining))); err != nil {
 		return err
 	}
-	re.Idle = append(re.Idle, en.Name)
-	return re.last(ch)
+	re.DrainEndpoints = append(re.DrainEndpoints, en.Name)
+	return re.changeFinal(ch)
 }
 
-// setEndpoint changes an endpoint. One that goes to another service, half or
-// address is a move: its work finishes first.
+// setEndpoint adds or changes an endpoint. If its service, half, address or zone
+// changes, the endpoint is moved, and its work must finish first.
 func (re *resolver) setEndpoint(fi *Fields[kind.Endpoint]) error {
-	current, found := re.Last.Endpoint(fi.Name)
+	current, found := re.Final.Endpoint(fi.Name)
 	if !found {
 		current = kind.DefaultEndpoint
 	}
@@ -182,36 +189,36 @@
 	}
 	moves := next.Service != current.Service || next.Half != current.Half || next.URL != current.URL || next.Zone != current.Zone
 	if found && moves {
-		return re.moving(current, withEndpoint(next))
+		return re.drainThenChange(current, withEndpoint(next))
 	}
-	return re.both(nil, withEndpoint(next))
+	return re.changeBoth(nil, withEndpoint(next))
 }
 
 func (re *resolver) removeEndpoint(name string) error {
-	en, found := re.Last.Endpoint(name)
+	en, found := re.Final.Endpoint(name)
 	if !found {
 		return errNoObject{"endpoint", name}
 	}
-	return re.moving(en, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithoutEndpoint(name) })
+	return re.drainThenChange(en, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithoutEndpoint(name) })
 }
 
 func (re *resolver) endpointState(name string, st kind.EndpointState) error {
-	en, found := re.Last.Endpoint(name)
+	en, found := re.Final.Endpoint(name)
 	if !found {
 		return errNoObject{"endpoint", name}
 	}
-	return re.both(nil, withEndpoint(en.WithState(st)))
+	return re.changeBoth(nil, withEndpoint(en.WithState(st)))
 }
 
 func (re *resolver) zoneState(name string, st kind.ZoneState) error {
-	zo, found := re.Last.Zone(name)
+	zo, found := re.Final.Zone(name)
 	if !found {
 		return errNoObject{"zone", name}
 	}
-	return re.both(nil, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithZone(zo.WithState(st)) })
+	return re.changeBoth(nil, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithZone(zo.WithState(st)) })
 }
 
-// errOneKind says that an assignment names none or several objects.
+// errOneKind is the error of an assignment that names no object or several.
 var errOneKind = errors.New("must name exactly one of endpoint, zone, team and service")
 
 func (re *resolver) assign(as Assign) error {
@@ -226,31 +233,31 @@
 	}
 	switch {
 	case as.Endpoint != "":
-		en, found := re.Last.Endpoint(as.Endpoint)
+		en, found := re.Final.Endpoint(as.Endpoint)
 		if !found {
 			return errNoObject{"endpoint", as.Endpoint}
 		}
 		if en.Half == as.Half {
 			return nil
 		}
-		return re.moving(en, withEndpoint(en.WithHalf(as.Half)))
+		return re.drainThenChange(en, withEndpoint(en.WithHalf(as.Half)))
 	case as.Zone != "":
-		zo, found := re.Last.Zone(as.Zone)
+		zo, found := re.Final.Zone(as.Zone)
 		if !found {
 			return errNoObject{"zone", as.Zone}
 		}
-		return re.both(nil, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithZone(zo.WithHalf(as.Half)) })
+		return re.changeBoth(nil, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithZone(zo.WithHalf(as.Half)) })
 	case as.Team != "":
-		te, found := re.Last.Team(as.Team)
+		te, found := re.Final.Team(as.Team)
 		if !found {
 			return errNoObject{"team", as.Team}
 		}
-		return re.both(nil, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithTeam(te.WithHalf(as.Half)) })
+		return re.changeBoth(nil, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithTeam(te.WithHalf(as.Half)) })
 	default:
-		se, found := re.Last.Service(as.Service)
+		se, found := re.Final.Service(as.Service)
 		if !found {
 			return errNoObject{"service", as.Service}
 		}
-		return re.both(nil, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithService(se.WithHalf(as.Half)) })
+		return re.changeBoth(nil, func(cf *kind.Configuration) (*kind.Configuration, error) { return cf.WithService(se.WithHalf(as.Half)) })
 	}
 }
--- a/internal/plan/await.go
+++ b/internal/plan/await.go
@@ -10,16 +10,19 @@
 	"filbertstall.example/filbertstall/internal/peer"
 )
 
-// InForce is on which instances a version is in force.
+// InForce tells on how many instances a configuration version is in force: On
+// of the Of instances that were asked.
 type InForce struct {
 	Version int64 `json:"version"`
 	On      int   `json:"on"`
 	Of      int   `json:"of"`
-	// Missing are the instances on which it is not, each with its reason.
+	// Missing lists the instances on which the version is not in force, each with
+	// the reason.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// String says it like "in force on 6 of 7; not on entry-4 (no answer)".
+// String returns a text such as "version 12 in force on 6 of 7; not on entry-4
+// (suspected, no answer)".
 func (in InForce) String() string {
 	text := fmt.Sprintf("version %d in force on %d of %d", in.Version, in.On, in.Of)
 	if len(in.Missing) > 0 {
@@ -28,7 +31,8 @@
 	return text
 }
 
-// CountInForce counts the instances that answer with a version or a higher one.
+// CountInForce counts the instances that answer with the version or a higher
+// one.
 func CountInForce(version int64, answers []Answer) InForce {
 	in := InForce{Version: version, Of: len(answers)}
 	for _, an := range answers {
@@ -44,14 +48,15 @@
 	return in
 }
 
-func (ex *Executor) awaitForce(ctx context.Context, st *Step) bool {
+func (ex *Executor) awaitInForce(ctx context.Context, st *Step) bool {
 	in := CountInForce(st.Version, ex.Fleet.Reports(ctx))
 	st.Note = in.String()
 	return in.On == in.Of
 }
 
-// inForceBefore returns the version that the last change before a step has.
-func inForceBefore(pl Plan, ix int) int64 {
+// versionBefore returns the configuration version of the last change before the
+// step at index ix, or the base version of the plan if there is none.
+func versionBefore(pl Plan, ix int) int64 {
 	for _, st := range slices.Backward(pl.Steps[:ix]) {
 		if st.Version > 0 {
 			return st.Version
@@ -60,53 +65,55 @@
 	return pl.Ground.Version
 }
 
-// work counts the requests at some endpoints. Instances that do not answer, or
-// that have an older configuration in force, may have more.
-func work(answers []Answer, version int64, counts func(endpoint string) bool) (requests int, unsure InForce) {
-	unsure = CountInForce(version, answers)
+// countRequests counts the requests in flight at the endpoints that include
+// selects. The count is complete only if coverage contains every instance, since
+// those that do not answer or have an older version in force may have more.
+func countRequests(answers []Answer, version int64, include func(endpoint string) bool) (requests int, coverage InForce) {
+	coverage = CountInForce(version, answers)
 	for _, an := range answers {
 		for endpoint, number := range an.Report.InFlight {
-			if counts(endpoint) {
+			if include(endpoint) {
 				requests += number
 			}
 		}
 	}
-	return requests, unsure
+	return requests, coverage
 }
 
-func (ex *Executor) awaitIdle(ctx context.Context, re record, ix int, st *Step) bool {
-	requests, sure := work(ex.Fleet.Reports(ctx), inForceBefore(re.Plan, ix), func(endpoint string) bool {
+func (ex *Executor) awaitEndpointsIdle(ctx context.Context, re record, ix int, st *Step) bool {
+	requests, coverage := countRequests(ex.Fleet.Reports(ctx), versionBefore(re.Plan, ix), func(endpoint string) bool {
 		return slices.Contains(st.Endpoints, endpoint)
 	})
 	st.Note = fmt.Sprintf("%d requests left", requests)
-	if sure.On < sure.Of {
-		st.Note += "; unknown on " + strings.Join(sure.Missing, ", ")
+	if coverage.On < coverage.Of {
+		st.Note += "; unknown on " + strings.Join(coverage.Missing, ", ")
 	}
-	return requests == 0 && sure.On == sure.Of
+	return requests == 0 && coverage.On == coverage.Of
 }
 
-func (ex *Executor) awaitQuiet(ctx context.Context, re record, ix int, st *Step) bool {
+func (ex *Executor) awaitZonesIdle(ctx context.Context, re record, ix int, st *Step) bool {
 	cf := ex.State.Bundle().Configuration()
-	requests, sure := work(ex.Fleet.Reports(ctx), inForceBefore(re.Plan, ix), func(endpoint string) bool {
+	requests, coverage := countRequests(ex.Fleet.Reports(ctx), versionBefore(re.Plan, ix), func(endpoint string) bool {
 		en, found := cf.Endpoint(endpoint)
 		return found && slices.Contains(st.Zones, en.Zone)
 	})
 	st.Note = fmt.Sprintf("%d requests left", requests)
-	if requests == 0 && sure.On == sure.Of {
+	if requests == 0 && coverage.On == coverage.Of {
 		return true
 	}
-	if ex.Clock.Since(st.Started) > quietTimeout {
+	if ex.Clock.Since(st.Started) > zonesIdleTimeout {
 		st.Note += " at the timeout; they go on"
 		return true
 	}
 	return false
 }
 
-// stopInstance is done when the instance is gone, or another has its name, or
-// nothing listens at its address any more.
+// stopInstance asks the instance to stop. It reports true once the instance is
+// gone, another instance has its name, or the instance is not live in the member
+// view and no connection to its address can be made.
 func (ex *Executor) stopInstance(ctx context.Context, st *Step) bool {
 	me, found := ex.Fleet.View().Member(st.Instance)
-	if !found || !me.Present() || me.Started.After(st.Launched) && !st.Launched.IsZero() {
+	if !found || !me.Present() || me.Started.After(st.InstanceStarted) && !st.InstanceStarted.IsZero() {
 		st.Note = "stopped"
 		return true
 	}
--- a/internal/plan/build.go
+++ b/internal/plan/build.go
@@ -12,37 +12,38 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// The errors of an intent that no line of the file is to blame for.
+// Errors of an intent as a whole, which belong to no line of its file.
 var (
-	errNothing    = errors.New("the intent changes nothing")
+	errNoChange   = errors.New("the intent changes nothing")
 	errNoInstance = errors.New("no such instance is running")
 )
 
-// build returns the steps from the ground to the target.
+// build returns a plan with the steps from the current configuration to the
+// target.
 func build(bu *configuration.Bundle, ta intent.Target, vi *member.View) (Plan, error) {
 	cf := bu.Configuration()
 	pl := Plan{State: Planned, Ground: Ground{Version: bu.Head.Version, Shards: bu.Head.Shards}}
-	pl.configure("change", cf, ta.First)
-	if len(ta.Idle) > 0 {
+	pl.configure("change", cf, ta.Interim)
+	if len(ta.DrainEndpoints) > 0 {
 		pl.add(Step{
-			Action: AwaitIdle, Title: "let work finish at " + strings.Join(ta.Idle, ", "),
-			Endpoints: ta.Idle, Capacity: CapacityOf(ta.First),
+			Action: AwaitEndpointsIdle, Title: "let work finish at " + strings.Join(ta.DrainEndpoints, ", "),
+			Endpoints: ta.DrainEndpoints, Capacity: CapacityOf(ta.Interim),
 		})
 	}
-	pl.configure("hand over", ta.First, ta.Last)
-	if len(ta.Quiet) > 0 {
+	pl.configure("hand over", ta.Interim, ta.Final)
+	if len(ta.DrainZones) > 0 {
 		pl.add(Step{
-			Action: AwaitQuiet, Title: "let work finish in " + strings.Join(ta.Quiet, ", "),
-			Zones: ta.Quiet, Capacity: CapacityOf(ta.Last),
+			Action: AwaitZonesIdle, Title: "let work finish in " + strings.Join(ta.DrainZones, ", "),
+			Zones: ta.DrainZones, Capacity: CapacityOf(ta.Final),
 		})
 	}
 	for _, st := range ta.Stops {
-		if err := pl.stop(st, ta.Last, vi); err != nil {
+		if err := pl.stop(st, ta.Final, vi); err != nil {
 			return pl, err
 		}
 	}
 	if !slices.ContainsFunc(pl.Steps, func(st Step) bool { return st.Action == Configure || st.Action == StopInstance }) {
-		return pl, errNothing
+		return pl, errNoChange
 	}
 	return pl, nil
 }
@@ -52,7 +53,8 @@
 	pl.Steps = append(pl.Steps, st)
 }
 
-// configure adds the steps that put a configuration in force everywhere.
+// configure adds the steps that publish a configuration and wait until it is in
+// force on every instance. It adds none if the configurations are equal.
 func (pl *Plan) configure(verb string, from, to *kind.Configuration) {
 	changes := Diff(from, to)
 	if len(changes) == 0 {
@@ -67,18 +69,18 @@
 	}
 	capacity := CapacityOf(to)
 	pl.add(Step{Action: Configure, Title: verb + " " + summary(objects), Changes: changes, Capacity: capacity})
-	pl.add(Step{Action: AwaitForce, Title: "wait until in force on every instance", Capacity: capacity})
+	pl.add(Step{Action: AwaitInForce, Title: "wait until in force on every instance", Capacity: capacity})
 }
 
-// summaryObjects bounds how many objects a step's title names.
-const summaryObjects = 4
+// maxSummaryObjects limits the number of objects in the title of a step.
+const maxSummaryObjects = 4
 
 func summary(objects []string) string {
-	if len(objects) <= summaryObjects {
+	if len(objects) <= maxSummaryObjects {
 		return strings.Join(objects, ", ")
 	}
-	rest := len(objects) - summaryObjects
-	return strings.Join(objects[:summaryObjects], ", ") + " and " + strconv.Itoa(rest) + " more"
+	rest := len(objects) - maxSummaryObjects
+	return strings.Join(objects[:maxSummaryObjects], ", ") + " and " + strconv.Itoa(rest) + " more"
 }
 
 func (pl *Plan) stop(st intent.Stop, cf *kind.Configuration, vi *member.View) error {
@@ -91,9 +93,9 @@
 		return errors.New(object + " is named twice")
 	}
 	pl.Objects = append(pl.Objects, object)
-	left := len(vi.In(me.Zone, member.Live)) - 1
-	title := "stop instance " + me.Name + "; zone " + me.Zone + " keeps " + strconv.Itoa(max(left, 0))
-	pl.add(Step{Action: StopInstance, Title: title, Instance: me.Name, Zone: me.Zone, Launched: me.Started, Capacity: CapacityOf(cf)})
+	remaining := len(vi.In(me.Zone, member.Live)) - 1
+	title := "stop instance " + me.Name + "; zone " + me.Zone + " keeps " + strconv.Itoa(max(remaining, 0))
+	pl.add(Step{Action: StopInstance, Title: title, Instance: me.Name, Zone: me.Zone, InstanceStarted: me.Started, Capacity: CapacityOf(cf)})
 	if st.Replace {
 		pl.add(Step{
 			Action: AwaitReplacement, Title: "wait for an instance in place of " + me.Name,
--- a/internal/plan/cancel.go
+++ b/internal/plan/cancel.go
@@ -9,20 +9,22 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// Cancel gives a plan up. What is safe to undo is undone: endpoints that were
-// drained for a hand-over that has not happened serve as before. All else that
-// was applied stays, and the plan's note says what.
+// Cancel cancels a plan. It reverts only what is safe to revert: endpoints that
+// were drained for a hand-over that has not happened serve again. All other
+// applied changes remain and are listed in the note of the plan. Canceling a
+// plan that is already canceled succeeds; for a plan that is done or refused it
+// returns an error of kind Conflict.
 func (se *Service) Cancel(ctx context.Context, id string) (Plan, error) {
-	for range confirmAttempts {
+	for range conflictAttempts {
 		re, err := se.load(ctx, "cancel", id)
 		if IsKind(err, Unknown) {
-			return se.free(ctx, id, err)
+			return se.releaseLost(ctx, id, err)
 		}
 		if err != nil {
 			return Plan{}, err
 		}
 		if re.State.Over() {
-			return re.Plan, canceled(re.Plan)
+			return re.Plan, cancelResult(re.Plan)
 		}
 		note := "nothing was changed"
 		if re.State == Confirmed {
@@ -31,53 +33,55 @@
 				return re.Plan, err
 			}
 			if begun {
-				note = leftovers(re.Plan)
+				note = remainingChanges(re.Plan)
 			}
 		}
 		re.Plan = re.WithEnd(Canceled, note, se.Clock.Now())
 		re, err = se.save(ctx, re)
-		if errors.Is(err, errChanged) {
+		if errors.Is(err, errConcurrentWrite) {
 			continue
 		}
 		if err != nil {
 			return re.Plan, err
 		}
 		se.count(CountCanceled)
-		if err := se.settle(ctx, re.Plan); err != nil {
-			se.Log.Warn().Err(err).Str("plan", id).Msg("plan: will be settled by another instance")
+		if err := se.finalize(ctx, re.Plan); err != nil {
+			se.Log.Warn().Err(err).Str("plan", id).Msg("plan: locks of the canceled plan were not released; an executor will retry")
 		}
 		return re.Plan, nil
 	}
-	return Plan{}, &Error{Op: "cancel", Plan: id, Kind: Unavailable, Err: errChanged}
+	return Plan{}, &Error{Op: "cancel", Plan: id, Kind: Unavailable, Err: errConcurrentWrite}
 }
 
-// free gives back the objects that a plan holds whose own object is gone,
-// because the platform was restored from an old copy. What it applied stays.
-func (se *Service) free(ctx context.Context, id string, unknown error) (Plan, error) {
-	bu, _, err := se.head(ctx, "cancel", id)
+// releaseLost releases the locks of a plan that the head still names but whose
+// object is missing because the platform was restored from an old backup. The
+// changes that the plan applied remain. It returns notFound if the head has no
+// running move of the plan either.
+func (se *Service) releaseLost(ctx context.Context, id string, notFound error) (Plan, error) {
+	bu, _, err := se.readHead(ctx, "cancel", id)
 	if err != nil {
 		return Plan{}, err
 	}
 	if mo, found := bu.Head.Move(id); !found || mo.Done {
-		return Plan{}, unknown
+		return Plan{}, notFound
 	}
 	pl := Plan{ID: id, State: Canceled, Note: "the platform has lost the plan; what it applied stays"}
-	return pl, unavailable("cancel", id, se.settle(ctx, pl))
+	return pl, unavailable("cancel", id, se.finalize(ctx, pl))
 }
 
-func canceled(pl Plan) error {
+func cancelResult(pl Plan) error {
 	if pl.State == Canceled {
 		return nil
 	}
 	return &Error{Op: "cancel", Plan: pl.ID, Kind: Conflict, Err: errors.New("the plan is " + string(pl.State))}
 }
 
-// fence tells whether a confirmed plan has begun. If it has not, it marks the
-// plan as done in the head: a first step whose write is still on its way then
-// meets another version and has no effect.
+// fence reports whether the first step of a confirmed plan has been applied. If
+// it has not, fence marks the plan as done in the head. A write of the first
+// step that is still in flight then fails its version check and has no effect.
 func (se *Service) fence(ctx context.Context, id string) (begun bool, err error) {
-	for range confirmAttempts {
-		bu, object, err := se.head(ctx, "cancel", id)
+	for range conflictAttempts {
+		bu, object, err := se.readHead(ctx, "cancel", id)
 		if err != nil {
 			return false, err
 		}
@@ -89,7 +93,7 @@
 			return false, unavailable("cancel", id, err)
 		}
 	}
-	return false, unavailable("cancel", id, errChanged)
+	return false, unavailable("cancel", id, errConcurrentWrite)
 }
 
 func unavailable(op, id string, err error) error {
@@ -99,27 +103,27 @@
 	return &Error{Op: op, Plan: id, Kind: Unavailable, Err: err}
 }
 
-// leftovers says what of a begun plan stays.
-func leftovers(pl Plan) string {
-	var stays []string
+// remainingChanges describes which changes of a canceled plan remain in force.
+func remainingChanges(pl Plan) string {
+	var remaining []string
 	for ix, st := range pl.Steps {
 		if st.Action != Configure || ix > pl.Current() {
 			continue
 		}
 		for _, ch := range st.Changes {
 			if !undoable(pl, ch) || ix > 0 {
-				stays = append(stays, ch.Object())
+				remaining = append(remaining, ch.Object())
 			}
 		}
 	}
-	if len(stays) == 0 {
+	if len(remaining) == 0 {
 		return "drained endpoints serve as before; nothing else was changed"
 	}
-	return "stays as changed: " + strings.Join(stays, ", ") + "; state another intent to change it back"
+	return "stays as changed: " + strings.Join(remaining, ", ") + "; state another intent to change it back"
 }
 
-// undoable tells whether a change of the first step only drained an endpoint
-// that the plan was going to move.
+// undoable reports whether a change of the first step only drained an endpoint
+// that a later step of the plan would have moved.
 func undoable(pl Plan, ch Change) bool {
 	if ch.Kind != "endpoint" || ch.Before == nil || ch.After == nil {
 		return false
@@ -134,11 +138,11 @@
 	return false
 }
 
-// settle frees the objects of a plan that is over, and undoes what is safe to
-// undo of a canceled one. It can be repeated.
-func (se *Service) settle(ctx context.Context, pl Plan) error {
-	for range confirmAttempts {
-		bu, object, err := se.head(ctx, "settle", pl.ID)
+// finalize releases the locks of a plan in a terminal state and reverts the
+// undoable changes of a canceled one. It is idempotent.
+func (se *Service) finalize(ctx context.Context, pl Plan) error {
+	for range conflictAttempts {
+		bu, object, err := se.readHead(ctx, "settle", pl.ID)
 		if err != nil {
 			return err
 		}
@@ -146,17 +150,17 @@
 		if !found || mo.Done {
 			return nil
 		}
-		changes := undo(pl, mo, bu.Configuration())
+		changes := undoChanges(pl, mo, bu.Configuration())
 		mo.Done, mo.Objects = true, nil
 		err = se.publish(ctx, bu, object, changes, mo)
 		if !configuration.IsKind(err, configuration.Moved) {
 			return err
 		}
 	}
-	return &Error{Op: "settle", Plan: pl.ID, Kind: Unavailable, Err: errChanged}
+	return &Error{Op: "settle", Plan: pl.ID, Kind: Unavailable, Err: errConcurrentWrite}
 }
 
-func undo(pl Plan, mo configuration.Move, cf *kind.Configuration) []Change {
+func undoChanges(pl Plan, mo configuration.Move, cf *kind.Configuration) []Change {
 	if pl.State != Canceled || mo.Steps != 1 || len(pl.Steps) == 0 {
 		return nil
 	}
--- a/internal/plan/capacity.go
+++ b/internal/plan/capacity.go
@@ -7,20 +7,22 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// Capacity is what the endpoints of a service in a zone bear for a half.
+// Capacity is the total capacity of the endpoints of a service in a zone that
+// belong to one half, or that both halves share.
 type Capacity struct {
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
-	// Half is that of the endpoints, empty for those that both share.
+	// Half is the half of the endpoints; it is empty for shared endpoints.
 	Half string `json:"half,omitempty"`
-	// Endpoints is how many take new work.
+	// Endpoints is the number of endpoints that accept new work. Sequences and
+	// MemoryTokens are sums over these endpoints.
 	Endpoints    int `json:"endpoints"`
 	Sequences    int `json:"sequences"`
 	MemoryTokens int `json:"memory_tokens"`
 }
 
 // CapacityOf returns the capacity of a configuration by service, zone and half.
-// A row with zeros shows endpoints that take no new work.
+// An entry with zeros stands for endpoints of which none accepts new work.
 func CapacityOf(cf *kind.Configuration) []Capacity {
 	type key struct{ service, zone, half string }
 	sums := make(map[key]Capacity)
--- a/internal/plan/change.go
+++ b/internal/plan/change.go
@@ -13,21 +13,22 @@
 type Change struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Before and After are the object's JSON; absent means that there is none.
+	// Before and After are the object in JSON. Before is nil if the change adds
+	// the object, and After is nil if it removes it.
 	Before json.RawMessage `json:"before,omitempty"`
 	After  json.RawMessage `json:"after,omitempty"`
 }
 
-// Object returns the name under which a plan holds the object.
+// Object returns the object as "kind/name", the form in which a plan locks it.
 func (ch Change) Object() string { return ch.Kind + "/" + ch.Name }
 
-// Inverse returns the change back.
+// Inverse returns the change that reverts this one.
 func (ch Change) Inverse() Change {
 	ch.Before, ch.After = ch.After, ch.Before
 	return ch
 }
 
-// Diff returns the changes from one configuration to another.
+// Diff returns the changes that lead from one configuration to another.
 func Diff(from, to *kind.Configuration) []Change {
 	var list []Change
 	list = append(list, diff("half", from.Halves(), to.Halves(), func(it kind.Half) string { return it.Name })...)
@@ -37,7 +38,7 @@
 	return append(list, diff("endpoint", from.Endpoints(), to.Endpoints(), func(it kind.Endpoint) string { return it.Name })...)
 }
 
-// diff joins two lists in name order.
+// diff compares two lists of objects of one kind, both sorted by name.
 func diff[T any](ki string, from, to []T, name func(T) string) []Change {
 	var list []Change
 	for len(from) > 0 || len(to) > 0 {
@@ -58,7 +59,8 @@
 	return list
 }
 
-// encode returns the JSON of a domain type, which always has one.
+// encode returns the JSON encoding of an object of the configuration. Encoding
+// such an object does not fail; if it did, the result would be nil.
 func encode(it any) json.RawMessage {
 	data, err := json.Marshal(it)
 	if err != nil {
@@ -67,10 +69,11 @@
 	return data
 }
 
-// errRemoval says that a change removes what cannot be removed.
+// errRemoval is returned for a change that removes an object other than an
+// endpoint.
 var errRemoval = errors.New("only endpoints can be removed")
 
-// apply makes the changes to a configuration.
+// apply returns the configuration with the changes applied.
 func apply(cf *kind.Configuration, changes []Change) (*kind.Configuration, error) {
 	var err error
 	for _, ch := range changes {
@@ -90,19 +93,19 @@
 	}
 	switch ch.Kind {
 	case "half":
-		return with(ch.After, cf.WithHalf)
+		return setObject(ch.After, cf.WithHalf)
 	case "zone":
-		return with(ch.After, cf.WithZone)
+		return setObject(ch.After, cf.WithZone)
 	case "team":
-		return with(ch.After, cf.WithTeam)
+		return setObject(ch.After, cf.WithTeam)
 	case "service":
-		return with(ch.After, cf.WithService)
+		return setObject(ch.After, cf.WithService)
 	default:
-		return with(ch.After, cf.WithEndpoint)
+		return setObject(ch.After, cf.WithEndpoint)
 	}
 }
 
-func with[T any](data []byte, set func(T) (*kind.Configuration, error)) (*kind.Configuration, error) {
+func setObject[T any](data []byte, set func(T) (*kind.Configuration, error)) (*kind.Configuration, error) {
 	var it T
 	if err := json.Unmarshal(data, &it); err != nil {
 		return nil, err
--- a/internal/plan/confirm.go
+++ b/internal/plan/confirm.go
@@ -9,14 +9,16 @@
 	"filbertstall.example/filbertstall/internal/configuration"
 )
 
-// confirmAttempts bounds how often a confirmation begins anew because another
-// writer came first.
-const confirmAttempts = 8
+// conflictAttempts limits how often an operation on the head or on a plan is
+// tried when its conditional updates fail because of concurrent writers.
+const conflictAttempts = 8
 
-// Confirm applies a plan's first step if its ground has not moved. A repeated
-// confirmation of the same plan changes nothing more and succeeds.
+// Confirm applies the first step of a plan if the configuration has not changed
+// since the plan was made. It is idempotent: confirming a plan again changes
+// nothing and succeeds. It returns an error of kind Conflict if the plan is
+// refused or canceled, and one of kind Unavailable if the caller can try again.
 func (se *Service) Confirm(ctx context.Context, id, confirmer string) (Plan, error) {
-	for range confirmAttempts {
+	for range conflictAttempts {
 		re, err := se.load(ctx, "confirm", id)
 		if err != nil {
 			return Plan{}, err
@@ -24,7 +26,7 @@
 		if re.State == Planned {
 			re.State, re.Confirmer, re.Confirmed = Confirmed, confirmer, se.Clock.Now()
 			re, err = se.save(ctx, re)
-			if errors.Is(err, errChanged) {
+			if errors.Is(err, errConcurrentWrite) {
 				continue
 			}
 			if err != nil {
@@ -32,35 +34,36 @@
 			}
 		}
 		if re.State != Confirmed {
-			return re.Plan, outcome(re.Plan)
+			return re.Plan, confirmResult(re.Plan)
 		}
-		err = se.begin(ctx, re)
+		err = se.start(ctx, re)
 		if configuration.IsKind(err, configuration.Moved) {
 			continue
 		}
-		return se.confirmed(ctx, re, err)
+		return se.finishConfirm(ctx, re, err)
 	}
 	return Plan{}, &Error{Op: "confirm", Plan: id, Kind: Unavailable, Err: errors.New("other writers came first; try again")}
 }
 
-// outcome is the error of confirming a plan that is over.
-func outcome(pl Plan) error {
+// confirmResult returns the error of confirming a plan in a terminal state, nil
+// for a plan that is done.
+func confirmResult(pl Plan) error {
 	if pl.State == Done {
 		return nil
 	}
 	return &Error{Op: "confirm", Plan: pl.ID, Kind: Conflict, Err: errors.New(string(pl.State) + ": " + pl.Note)}
 }
 
-// confirmed returns the plan after its beginning, refused if that failed for
-// good.
-func (se *Service) confirmed(ctx context.Context, re record, err error) (Plan, error) {
-	var mo *movedError
+// finishConfirm returns the result of a confirmation whose start returned err.
+// It refuses the plan if err is permanent.
+func (se *Service) finishConfirm(ctx context.Context, re record, err error) (Plan, error) {
+	var co *conflictError
 	switch {
 	case err == nil:
 		se.count(CountConfirmed)
 		return re.Plan, nil
-	case errors.As(err, &mo):
-		return se.refuse(ctx, re, mo)
+	case errors.As(err, &co):
+		return se.refuse(ctx, re, co)
 	case IsKind(err, Unavailable):
 		return re.Plan, err
 	default:
@@ -68,46 +71,48 @@
 	}
 }
 
-func (se *Service) refuse(ctx context.Context, re record, mo *movedError) (Plan, error) {
-	re.Since = mo.since
-	re.Plan = re.WithEnd(Refused, mo.Error(), se.Clock.Now())
+func (se *Service) refuse(ctx context.Context, re record, co *conflictError) (Plan, error) {
+	re.Since = co.changes
+	re.Plan = re.WithEnd(Refused, co.Error(), se.Clock.Now())
 	saved, err := se.save(ctx, re)
-	if err != nil && !errors.Is(err, errChanged) {
+	if err != nil && !errors.Is(err, errConcurrentWrite) {
 		return re.Plan, err
 	}
 	se.count(CountRefused)
-	return saved.Plan, &Error{Op: "confirm", Plan: re.ID, Kind: Conflict, Err: mo}
+	return saved.Plan, &Error{Op: "confirm", Plan: re.ID, Kind: Conflict, Err: co}
 }
 
-// movedError says that a plan's ground moved.
-type movedError struct {
-	note  string
-	since []Change
+// conflictError says that a plan can no longer be started: the configuration
+// changed, the plan was canceled, or another plan locks one of its objects.
+type conflictError struct {
+	detail  string
+	changes []Change
 }
 
 // Error implements error.
-func (mo *movedError) Error() string { return mo.note }
+func (co *conflictError) Error() string { return co.detail }
 
-// begin writes the plan's first step and its move into the head, once.
-func (se *Service) begin(ctx context.Context, re record) error {
-	bu, object, err := se.head(ctx, "confirm", re.ID)
+// start writes the first step of the plan and its move into the head. It does
+// nothing if the head already has the move.
+func (se *Service) start(ctx context.Context, re record) error {
+	bu, object, err := se.readHead(ctx, "confirm", re.ID)
 	if err != nil {
 		return err
 	}
 	if mo, begun := bu.Head.Move(re.ID); begun {
 		if mo.Done {
-			return &movedError{note: "the plan was canceled"}
+			return &conflictError{detail: "the plan was canceled"}
 		}
 		return nil
 	}
-	if lag := se.lag(ctx, bu.Head.Version); lag != nil {
+	if lag := se.checkPlatformLag(ctx, bu.Head.Version); lag != nil {
 		return &Error{Op: "confirm", Plan: re.ID, Kind: Unavailable, Err: lag}
 	}
 	if !slices.Equal(bu.Head.Shards, re.Ground.Shards) {
-		return se.moved(ctx, re, bu)
+		return se.baseChanged(ctx, re, bu)
 	}
-	if holder := held(bu.Head, re.Plan); holder != "" {
-		return &movedError{note: "plan " + holder + " is running and holds one of the objects"}
+	if holder := lockHolder(bu.Head, re.Plan); holder != "" {
+		return &conflictError{detail: "plan " + holder + " is running and holds one of the objects"}
 	}
 	mo := configuration.Move{Plan: re.ID, Objects: re.Objects}
 	var changes []Change
@@ -117,31 +122,34 @@
 	return se.publish(ctx, bu, object, changes, mo)
 }
 
-// lag asks every instance whether the platform is behind what it has in force.
-// An instance that has just started knows too little to tell by itself.
-func (se *Service) lag(ctx context.Context, version int64) error {
+// checkPlatformLag returns errPlatformBehind if any instance has a higher version
+// in force than the platform shows. It asks every instance because the member
+// view of an instance that has just started can miss a higher version.
+func (se *Service) checkPlatformLag(ctx context.Context, version int64) error {
 	for _, an := range se.Fleet.Reports(ctx) {
 		if an.Err == nil && an.Report.Standing.Version > version {
 			se.count(RefusedBehind)
-			return errBehind
+			return errPlatformBehind
 		}
 	}
 	return nil
 }
 
-// moved says what changed since the plan was made.
-func (se *Service) moved(ctx context.Context, re record, now *configuration.Bundle) error {
+// baseChanged returns a conflictError with the changes since the plan was made.
+// The list is empty if the shards of the base version cannot be read any more.
+func (se *Service) baseChanged(ctx context.Context, re record, now *configuration.Bundle) error {
 	note := fmt.Sprintf("the configuration changed from version %d to %d since the plan was made; plan again", re.Ground.Version, now.Head.Version)
 	he := configuration.Head{Version: re.Ground.Version, Shards: re.Ground.Shards}
-	ground, err := configuration.ReadShards(ctx, se.Store, he, now)
+	base, err := configuration.ReadShards(ctx, se.Store, he, now)
 	if err != nil {
-		return &movedError{note: note}
+		return &conflictError{detail: note}
 	}
-	return &movedError{note: note, since: Diff(ground.Configuration(), now.Configuration())}
+	return &conflictError{detail: note, changes: Diff(base.Configuration(), now.Configuration())}
 }
 
-// publish writes the next version of the configuration and puts it in force
-// here.
+// publish writes the next version of the configuration to the platform and puts
+// it in force on this instance. The error is of kind configuration.Moved if
+// another writer has changed the head.
 func (se *Service) publish(ctx context.Context, bu *configuration.Bundle, object int64, changes []Change, mo configuration.Move) error {
 	cf, err := apply(bu.Configuration(), changes)
 	if err != nil {
--- a/internal/plan/doc.go
+++ b/internal/plan/doc.go
@@ -1,12 +1,13 @@
-// Package plan turns an intent into steps and carries them out once an
-// operator has confirmed them.
+// Package plan turns an intent into a sequence of steps and executes them once
+// an operator has confirmed the plan.
 //
-// A plan is one object of the platform. Confirming it writes its first step
-// and a move into the head of the configuration by one conditional update, so
-// that of two plans on the same ground one wins and the other is refused. The
-// head remembers how many steps are applied; the plan object holds progress.
-// Whichever instance holds the plan's claim carries it on, and every step can
-// be repeated, so instances may be replaced at any point.
+// A plan is stored as one object in the platform. Confirming it writes its
+// first step and a move into the head of the configuration by one conditional
+// update. If two plans have the same base version, one of them succeeds and the
+// other is refused. The head records how many steps of a plan have been applied,
+// and the plan object records the state of each step. The instance
+// that holds the claim on a plan executes it. Every step is idempotent, so an
+// instance can be replaced at any point.
 //
 // # Usage
 //
--- a/internal/plan/error.go
+++ b/internal/plan/error.go
@@ -5,19 +5,24 @@
 	"fmt"
 )
 
-// ErrorKind says why an operation on a plan did not succeed.
+// ErrorKind classifies why an operation on a plan failed.
 type ErrorKind string
 
 // The kinds of error that this package reports.
 const (
-	// Invalid means that the intent is wrong.
+	// Invalid means that the intent cannot be parsed or applied, or that it
+	// changes nothing.
 	Invalid ErrorKind = "invalid"
-	// Unknown means that there is no such plan.
+	// Unknown means that there is no such plan, or that its object cannot be
+	// decoded.
 	Unknown ErrorKind = "unknown"
-	// Conflict means that the plan's ground moved, or that it is over.
+	// Conflict means that the plan is in a terminal state, or that it was refused
+	// because the configuration changed or another plan locks one of its objects.
 	Conflict ErrorKind = "conflict"
-	// Unavailable means that the platform does not answer, or that it shows a
-	// configuration that is older than that in force.
+	// Unavailable means that the operation can be tried again later: the platform
+	// does not answer or shows an older configuration than the one in force, this
+	// instance does not know the other members yet, or concurrent writers came
+	// first on every attempt.
 	Unavailable ErrorKind = "unavailable"
 )
 
@@ -38,7 +43,7 @@
 // Unwrap returns the cause.
 func (er *Error) Unwrap() error { return er.Err }
 
-// IsKind tells whether err is a plan error of that kind.
+// IsKind reports whether err is an *Error of the given kind.
 func IsKind(err error, ki ErrorKind) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Kind == ki
--- a/internal/plan/executor.go
+++ b/internal/plan/executor.go
@@ -9,81 +9,88 @@
 )
 
 const (
-	// tick is how often an instance looks at the running plans.
-	tick = 500 * time.Millisecond
-	// tickPerMember makes it rarer in a large fleet, since a waiting step asks
-	// every instance.
-	tickPerMember = 10 * time.Millisecond
-	// claimFor is how long an instance carries a plan on without a sign of life
-	// before another one takes over. Two at once do no harm: each write is
-	// conditional and each step can be repeated.
-	claimFor = 6 * time.Second
-	// candidates is how many instances stand ready to carry a plan on.
-	candidates = 3
-	// quietTimeout bounds how long a plan waits for work in a zone to finish.
-	quietTimeout = 10 * time.Minute
+	// pollInterval is the time between two polls of the running plans in a small
+	// fleet. A new configuration in force triggers a poll at once.
+	pollInterval = 500 * time.Millisecond
+	// pollIntervalPerMember, multiplied by the number of members, is the time
+	// between two polls in a large fleet. It limits the load of a waiting step,
+	// which asks every instance at each poll.
+	pollIntervalPerMember = 10 * time.Millisecond
+	// claimDuration is the time after which the claim on a plan expires unless its
+	// owner renews it. Two instances may execute a plan at the same time, since
+	// each write is conditional and each step is idempotent.
+	claimDuration = 6 * time.Second
+	// executorCandidates is the number of instances that are eligible to claim a
+	// plan.
+	executorCandidates = 3
+	// zonesIdleTimeout limits how long a plan waits for the requests in a zone to
+	// finish.
+	zonesIdleTimeout = 10 * time.Minute
 )
 
-// Executor is the controller that carries confirmed plans on. Set the fields
+// Executor is the controller that executes confirmed plans. Set the fields
 // before Run.
 type Executor struct {
 	*Service
 	// Self is the name of this instance.
 	Self string
-	// Candidate tells whether this instance stands ready to carry on a plan;
-	// nil means yes.
-	Candidate func(id string, places int) bool
+	// Candidate reports whether this instance is among the first limit instances
+	// in the order that is derived from the ID of a plan. If it is nil, this
+	// instance is a candidate for every plan.
+	Candidate func(id string, limit int) bool
 }
 
 // Name implements controller.Controller.
 func (ex *Executor) Name() string { return "plans" }
 
-// Run carries plans on until ctx ends.
+// Run executes plans until ctx ends. It always returns nil.
 func (ex *Executor) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed, _ := ex.State.Changed()
-		ex.round(ctx)
+		ex.advanceAll(ctx)
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-ex.Clock.After(max(tick, time.Duration(len(ex.Fleet.View().Members))*tickPerMember)):
+		case <-ex.Clock.After(max(pollInterval, time.Duration(len(ex.Fleet.View().Members))*pollIntervalPerMember)):
 		}
 	}
 	return nil
 }
 
-// round carries every running plan on by what can be done at once.
-func (ex *Executor) round(ctx context.Context) {
+// advanceAll executes the steps of all running plans that need not wait. It logs
+// errors, and the next poll tries again.
+func (ex *Executor) advanceAll(ctx context.Context) {
 	bu := ex.State.Bundle()
 	if bu == nil {
 		return
 	}
 	for _, mo := range bu.Head.Moves {
-		if mo.Done || (ex.Candidate != nil && !ex.Candidate(mo.Plan, candidates)) {
+		if mo.Done || (ex.Candidate != nil && !ex.Candidate(mo.Plan, executorCandidates)) {
 			continue
 		}
-		if err := ex.carry(ctx, mo.Plan); err != nil && !errors.Is(err, errChanged) && ctx.Err() == nil {
+		if err := ex.advance(ctx, mo.Plan); err != nil && !errors.Is(err, errConcurrentWrite) && ctx.Err() == nil {
 			ex.count(RetryStep)
-			ex.Log.Warn().Err(err).Str("plan", mo.Plan).Msg("plan: step not made, will be repeated")
+			ex.Log.Warn().Err(err).Str("plan", mo.Plan).Msg("plan: step failed; it will be retried at the next poll")
 		}
 	}
 }
 
-// carry makes steps of one plan until it has to wait.
-func (ex *Executor) carry(ctx context.Context, id string) error {
+// advance claims a plan and executes its steps until one has to wait. It does
+// nothing while another instance holds the claim.
+func (ex *Executor) advance(ctx context.Context, id string) error {
 	re, err := ex.load(ctx, "carry", id)
 	if err != nil {
 		return err
 	}
 	if re.State.Over() {
-		return ex.settle(ctx, re.Plan)
+		return ex.finalize(ctx, re.Plan)
 	}
 	now := ex.Clock.Now()
-	if re.Owner != ex.Self && now.Before(re.Until) {
+	if re.Owner != ex.Self && now.Before(re.ClaimedUntil) {
 		return nil
 	}
-	if re.Owner != ex.Self || re.Until.Sub(now) < claimFor/2 {
-		re.State, re.Owner, re.Until = Confirmed, ex.Self, now.Add(claimFor)
+	if re.Owner != ex.Self || re.ClaimedUntil.Sub(now) < claimDuration/2 {
+		re.State, re.Owner, re.ClaimedUntil = Confirmed, ex.Self, now.Add(claimDuration)
 		if re, err = ex.save(ctx, re); err != nil {
 			return err
 		}
@@ -101,42 +108,43 @@
 	}
 	ex.count(CountDone)
 	ex.Log.Info().Str("plan", id).Msg("plan: done")
-	return ex.settle(ctx, re.Plan)
+	return ex.finalize(ctx, re.Plan)
 }
 
-// step tries the current step and records what came of it.
+// step executes the current step and saves the plan if the state or the note of
+// the step has changed.
 func (ex *Executor) step(ctx context.Context, re record) (record, error) {
 	ix := re.Current()
 	st := re.Steps[ix]
 	if st.State == StepPending {
 		st.State, st.Started = StepRunning, ex.Clock.Now()
 	}
-	done, err := ex.perform(ctx, re, ix, &st)
+	done, err := ex.execute(ctx, re, ix, &st)
 	if err != nil {
 		return re, err
 	}
 	if done {
 		st.State, st.Finished = StepDone, ex.Clock.Now()
 	}
-	last := re.Steps[ix]
-	if st.State == last.State && st.Note == last.Note {
+	previous := re.Steps[ix]
+	if st.State == previous.State && st.Note == previous.Note {
 		return re, nil
 	}
 	re.Plan = re.WithStep(ix, st)
 	return ex.save(ctx, re)
 }
 
-func (ex *Executor) perform(ctx context.Context, re record, ix int, st *Step) (bool, error) {
+func (ex *Executor) execute(ctx context.Context, re record, ix int, st *Step) (bool, error) {
 	switch st.Action {
 	case Configure:
 		return true, ex.configure(ctx, re, ix, st)
-	case AwaitForce:
+	case AwaitInForce:
 		st.Version = re.Steps[ix-1].Version
-		return ex.awaitForce(ctx, st), nil
-	case AwaitIdle:
-		return ex.awaitIdle(ctx, re, ix, st), nil
-	case AwaitQuiet:
-		return ex.awaitQuiet(ctx, re, ix, st), nil
+		return ex.awaitInForce(ctx, st), nil
+	case AwaitEndpointsIdle:
+		return ex.awaitEndpointsIdle(ctx, re, ix, st), nil
+	case AwaitZonesIdle:
+		return ex.awaitZonesIdle(ctx, re, ix, st), nil
 	case StopInstance:
 		return ex.stopInstance(ctx, st), nil
 	default:
@@ -144,10 +152,11 @@
 	}
 }
 
-// configure applies a step's changes unless the head says that it has been.
+// configure publishes the changes of a step unless the head shows that they have
+// been applied.
 func (ex *Executor) configure(ctx context.Context, re record, ix int, st *Step) error {
-	for range confirmAttempts {
-		bu, object, err := ex.head(ctx, "configure", re.ID)
+	for range conflictAttempts {
+		bu, object, err := ex.readHead(ctx, "configure", re.ID)
 		if err != nil {
 			return err
 		}
@@ -168,5 +177,5 @@
 		st.Version = bu.Head.Version + 1
 		return err
 	}
-	return errChanged
+	return errConcurrentWrite
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -5,24 +5,29 @@
 	"time"
 )
 
-// State is how far a plan has come.
+// State is the state of a plan. The terminal states are Done, Refused and
+// Canceled.
 type State string
 
 // The states of a plan.
 const (
-	// Planned plans change nothing until they are confirmed.
+	// Planned means that the plan is stored but not confirmed; it has changed
+	// nothing.
 	Planned State = "planned"
-	// Confirmed plans are carried out.
+	// Confirmed means that an operator has confirmed the plan and that its steps
+	// are being executed.
 	Confirmed State = "confirmed"
-	// Done plans have all their steps behind them.
+	// Done means that all steps have finished.
 	Done State = "done"
-	// Refused plans were confirmed after their ground moved; nothing changed.
+	// Refused means that the confirmation failed because the configuration had
+	// changed since the plan was made, or because a running plan holds one of
+	// its objects. Nothing was changed.
 	Refused State = "refused"
-	// Canceled plans were given up by an operator.
+	// Canceled means that an operator canceled the plan.
 	Canceled State = "canceled"
 )
 
-// Over tells whether nothing more will happen to the plan.
+// Over reports whether the state is terminal.
 func (st State) Over() bool { return st == Done || st == Refused || st == Canceled }
 
 // Action is what a step does.
@@ -30,21 +35,26 @@
 
 // The actions of steps.
 const (
-	// Configure puts changes of the configuration in force.
+	// Configure publishes changes to the configuration.
 	Configure Action = "configure"
-	// AwaitForce waits until a version is in force on every instance.
-	AwaitForce Action = "await_force"
-	// AwaitIdle waits until endpoints have no work of any instance.
-	AwaitIdle Action = "await_idle"
-	// AwaitQuiet waits until zones have no work, or its timeout.
-	AwaitQuiet Action = "await_quiet"
-	// StopInstance tells an entry instance to stop and waits until it has.
+	// AwaitInForce waits until a configuration version is in force on every
+	// instance.
+	AwaitInForce Action = "await_force"
+	// AwaitEndpointsIdle waits until no instance has a request in flight at the
+	// step's endpoints.
+	AwaitEndpointsIdle Action = "await_idle"
+	// AwaitZonesIdle waits until no request is in flight in the step's zones, or
+	// until zonesIdleTimeout.
+	AwaitZonesIdle Action = "await_quiet"
+	// StopInstance asks an entry instance to shut down gracefully and waits until
+	// it has stopped.
 	StopInstance Action = "stop_instance"
-	// AwaitReplacement waits for another instance in a stopped one's zone.
+	// AwaitReplacement waits until a new instance is live in the zone of the
+	// stopped one.
 	AwaitReplacement Action = "await_replacement"
 )
 
-// StepState is how far a step has come.
+// StepState is the state of a step.
 type StepState string
 
 // The states of a step.
@@ -57,35 +67,40 @@
 // Step is one step of a plan.
 type Step struct {
 	Action Action `json:"action"`
-	// Title says what the step does, for people.
+	// Title describes the step to an operator.
 	Title   string   `json:"title"`
 	Changes []Change `json:"changes,omitempty"`
-	// Endpoints and Zones are what is waited for.
+	// Endpoints are waited for by AwaitEndpointsIdle, Zones by AwaitZonesIdle.
 	Endpoints []string `json:"endpoints,omitempty"`
 	Zones     []string `json:"zones,omitempty"`
-	// Instance, Zone and Started name the instance to stop.
-	Instance string    `json:"instance,omitempty"`
-	Zone     string    `json:"zone,omitempty"`
-	Launched time.Time `json:"launched,omitzero"`
-	// Capacity is what remains while the step runs.
+	// Instance, Zone and InstanceStarted identify the instance to stop. The start
+	// time tells it from a later instance of the same name.
+	Instance        string    `json:"instance,omitempty"`
+	Zone            string    `json:"zone,omitempty"`
+	InstanceStarted time.Time `json:"launched,omitzero"`
+	// Capacity is the capacity that remains while the step runs.
 	Capacity []Capacity `json:"capacity,omitempty"`
 
 	State    StepState `json:"state"`
 	Started  time.Time `json:"started,omitzero"`
 	Finished time.Time `json:"finished,omitzero"`
-	// Version is the configuration that the step put in force or waits for.
+	// Version is the configuration version that the step published or waits for.
 	Version int64 `json:"version,omitempty"`
-	// Note says what is waited for, or what was left.
+	// Note tells an operator what the step waits for, or what was unfinished when
+	// it ended.
 	Note string `json:"note,omitempty"`
 }
 
-// Ground is the configuration that a plan depends on.
+// Ground is the base version of a plan: the configuration that it was made
+// from. Shards are the hashes of the shards of that version. A plan is refused
+// if the head lists other shards when it is confirmed.
 type Ground struct {
 	Version int64    `json:"version"`
 	Shards  []string `json:"shards"`
 }
 
-// Plan is what an intent leads to. It is kept as one object in the platform.
+// Plan is the sequence of steps that carries out an intent. It is stored as one
+// object in the platform.
 type Plan struct {
 	ID     string `json:"id"`
 	Reason string `json:"reason,omitempty"`
@@ -95,21 +110,25 @@
 	Made   time.Time `json:"made"`
 	Ground Ground    `json:"ground"`
 	Steps  []Step    `json:"steps"`
-	// Objects are held from the confirmation to the end, each "kind/name".
+	// Objects are the objects, each as "kind/name", that the plan locks against
+	// other plans from its confirmation to its end.
 	Objects []string `json:"objects,omitempty"`
 
 	State     State     `json:"state"`
 	Confirmer string    `json:"confirmer,omitempty"`
 	Confirmed time.Time `json:"confirmed,omitzero"`
 	Ended     time.Time `json:"ended,omitzero"`
-	// Note says why the plan was refused, or what a canceled one left.
+	// Note says which running plan locked one of the objects when the plan was
+	// made, why the plan was refused, or which changes of a canceled plan remain.
 	Note string `json:"note,omitempty"`
-	// Since is what changed between the ground and the refusal.
+	// Since lists the changes to the configuration between the base version and
+	// the refusal.
 	Since []Change `json:"since,omitempty"`
 
-	// Owner carries the plan out until Until; another may then.
-	Owner string    `json:"owner,omitempty"`
-	Until time.Time `json:"until,omitzero"`
+	// Owner is the name of the instance that executes the plan. Its claim expires
+	// at ClaimedUntil, after which another instance can take over.
+	Owner        string    `json:"owner,omitempty"`
+	ClaimedUntil time.Time `json:"until,omitzero"`
 }
 
 // Current returns the index of the first step that is not done, or the number
@@ -122,16 +141,16 @@
 	return ix
 }
 
-// WithStep returns a copy in which one step is replaced.
+// WithStep returns a copy of the plan with the step at index ix replaced.
 func (pl Plan) WithStep(ix int, st Step) Plan {
 	pl.Steps = slices.Clone(pl.Steps)
 	pl.Steps[ix] = st
 	return pl
 }
 
-// WithEnd returns a copy that is over.
+// WithEnd returns a copy of the plan in a terminal state and without an owner.
 func (pl Plan) WithEnd(st State, note string, at time.Time) Plan {
 	pl.State, pl.Note, pl.Ended = st, note, at
-	pl.Owner, pl.Until = "", time.Time{}
+	pl.Owner, pl.ClaimedUntil = "", time.Time{}
 	return pl
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -28,46 +28,47 @@
 }
 
 func init() {
-	// A fixed seed gives CI the same verdict every run.
+	// A fixed seed makes runs of CI reproducible.
 	_ = flag.Set("rapid.seed", "20261203")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// alone is a fleet of one instance, whose report follows its state.
-type alone struct {
+// singleFleet is a fleet of one instance, whose report is built from its state.
+type singleFleet struct {
 	state    *configuration.State
 	inFlight map[string]int
-	// ahead is the version that another instance reports; zero means that
-	// there is none.
-	ahead int64
+	// peerVersion is the version that a second instance reports. Zero means that
+	// there is no second instance, and a negative value that the view is not
+	// settled.
+	peerVersion int64
 }
 
-func (al *alone) member() member.Member {
-	return member.Member{Name: "entry-1", Zone: "suseong", State: member.Live, Version: al.state.Version()}
+func (fl *singleFleet) member() member.Member {
+	return member.Member{Name: "entry-1", Zone: "suseong", State: member.Live, Version: fl.state.Version()}
 }
 
-func (al *alone) View() *member.View {
-	return &member.View{Version: 1, Members: []member.Member{al.member()}}
+func (fl *singleFleet) View() *member.View {
+	return &member.View{Version: 1, Members: []member.Member{fl.member()}}
 }
 
-func (al *alone) Reports(context.Context) []plan.Answer {
-	re := plan.Report{Name: "entry-1", Zone: "suseong", Standing: al.state.Standing(), InFlight: al.inFlight}
-	answers := []plan.Answer{{Member: al.member(), Report: re}}
-	if al.ahead > 0 {
-		other := plan.Report{Name: "entry-2", Standing: configuration.Standing{Version: al.ahead}}
+func (fl *singleFleet) Reports(context.Context) []plan.Answer {
+	re := plan.Report{Name: "entry-1", Zone: "suseong", Standing: fl.state.Standing(), InFlight: fl.inFlight}
+	answers := []plan.Answer{{Member: fl.member(), Report: re}}
+	if fl.peerVersion > 0 {
+		other := plan.Report{Name: "entry-2", Standing: configuration.Standing{Version: fl.peerVersion}}
 		answers = append(answers, plan.Answer{Member: member.Member{Name: "entry-2", State: member.Live}, Report: other})
 	}
 	return answers
 }
 
-func (al *alone) Settled() bool { return al.ahead >= 0 }
+func (fl *singleFleet) Settled() bool { return fl.peerVersion >= 0 }
 
-func (al *alone) StopMember(context.Context, member.Member) error { return nil }
+func (fl *singleFleet) StopMember(context.Context, member.Member) error { return nil }
 
-// site is one platform with one instance.
+// site is a fake platform with the plan service of one instance.
 type site struct {
 	store *platformfake.Store
-	fleet *alone
+	fleet *singleFleet
 	clock *clockwork.FakeClock
 	*plan.Service
 }
@@ -98,34 +99,35 @@
 	_, err = configuration.Publish(context.Background(), si.store, 0, cf)
 	Expect(err).NotTo(HaveOccurred())
 	si.Service = si.instance()
-	si.fleet, _ = si.Fleet.(*alone)
+	si.fleet, _ = si.Fleet.(*singleFleet)
 	return si
 }
 
-// instance returns the plan service of a fresh instance.
+// instance returns the plan service of a newly started instance.
 func (si *site) instance() *plan.Service {
 	st := &configuration.State{Holder: new(snapshot.Holder[kind.Configuration]), Log: zerolog.Nop()}
 	bu, _, err := configuration.Read(context.Background(), si.store, nil)
 	Expect(err).NotTo(HaveOccurred())
 	st.Apply(bu, configuration.FromPlatform)
-	return &plan.Service{Store: si.store, State: st, Fleet: &alone{state: st}, Clock: si.clock, Log: zerolog.Nop()}
+	return &plan.Service{Store: si.store, State: st, Fleet: &singleFleet{state: st}, Clock: si.clock, Log: zerolog.Nop()}
 }
 
-func (si *site) make(text string) plan.Plan {
+func (si *site) makePlan(text string) plan.Plan {
 	pl, err := si.Make(context.Background(), "operators", "intent", []byte(text))
 	Expect(err).NotTo(HaveOccurred())
 	return pl
 }
 
-// state returns the state of a plan as it is kept.
-func (si *site) state(id string) plan.State {
+// planState returns the stored state of a plan.
+func (si *site) planState(id string) plan.State {
 	pl, err := si.Get(context.Background(), id)
 	Expect(err).NotTo(HaveOccurred())
 	return pl.State
 }
 
-// carry runs an executor until ctx ends and returns a function that stops it.
-func (si *site) carry(self string, se *plan.Service) context.CancelFunc {
+// runExecutor starts an executor and returns a function that stops it and waits
+// until it has ended.
+func (si *site) runExecutor(self string, se *plan.Service) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	ex := &plan.Executor{Service: se, Self: self}
 	ended := make(chan struct{})
@@ -136,8 +138,8 @@
 	return func() { cancel(); <-ended }
 }
 
-// settled waits until a plan is over, as virtual time passes.
-func (si *site) settled(id string) plan.Plan {
+// awaitEnd advances the clock until a plan is in a terminal state.
+func (si *site) awaitEnd(id string) plan.Plan {
 	var pl plan.Plan
 	Eventually(func(g Gomega) {
 		si.clock.Advance(time.Second)
@@ -149,7 +151,8 @@
 	return pl
 }
 
-// sweepBeforeHead sweeps between the last shard and the head.
+// sweepBeforeHead is a store that runs a sweep after a publisher has written the
+// last shard and before it writes the head.
 type sweepBeforeHead struct {
 	platform.Store
 	sweep func()
@@ -173,7 +176,7 @@
 
 	It("changes nothing until it is confirmed, and shows the capacity that remains", func() {
 		si := newSite()
-		pl := si.make(zoneOut)
+		pl := si.makePlan(zoneOut)
 		Expect(pl.Ground.Version).To(Equal(int64(1)))
 		Expect(pl.Steps[0].Capacity).To(ContainElement(plan.Capacity{Service: "filbert-pool", Zone: "suseong"}))
 		Expect(pl.Steps[0].Capacity).To(ContainElement(plan.Capacity{Service: "filbert-pool", Zone: "dalseo", Endpoints: 2, Sequences: 200, MemoryTokens: 2000}))
@@ -182,9 +185,9 @@
 		Expect(bu.Head.Version).To(Equal(int64(1)))
 	})
 
-	It("refuses the second of two plans on the same ground and says what changed", func() {
+	It("refuses the second of two plans with the same base version and lists what changed", func() {
 		si := newSite()
-		first, second := si.make(zoneOut), si.make(assign)
+		first, second := si.makePlan(zoneOut), si.makePlan(assign)
 		_, err := si.Confirm(ctx, first.ID, "operators")
 		Expect(err).NotTo(HaveOccurred())
 		pl, err := si.Confirm(ctx, second.ID, "operators")
@@ -196,7 +199,7 @@
 
 	It("is applied once however often it is confirmed, also when answers are lost", func() {
 		si := newSite()
-		pl := si.make(zoneOut)
+		pl := si.makePlan(zoneOut)
 		si.store.SetFault(platformfake.LoseAnswers)
 		for range 3 {
 			_, err := si.Confirm(ctx, pl.ID, "operators")
@@ -210,10 +213,10 @@
 	It("hands an endpoint over only when it is idle", func() {
 		si := newSite()
 		si.fleet.inFlight = map[string]int{"engine-0": 1}
-		pl := si.make(assign)
+		pl := si.makePlan(assign)
 		_, err := si.Confirm(ctx, pl.ID, "operators")
 		Expect(err).NotTo(HaveOccurred())
-		stop := si.carry("entry-1", si.Service)
+		stop := si.runExecutor("entry-1", si.Service)
 		Eventually(func() string {
 			si.clock.Advance(time.Second)
 			pl, _ = si.Get(ctx, pl.ID)
@@ -223,18 +226,18 @@
 		en, _ := si.State.Bundle().Configuration().Endpoint("engine-0")
 		Expect(en.State).To(Equal(kind.EndpointDraining))
 		si.fleet.inFlight = nil
-		stop = si.carry("entry-1", si.Service)
+		stop = si.runExecutor("entry-1", si.Service)
 		defer stop()
-		Expect(si.settled(pl.ID).State).To(Equal(plan.Done))
+		Expect(si.awaitEnd(pl.ID).State).To(Equal(plan.Done))
 		en, _ = si.State.Bundle().Configuration().Endpoint("engine-0")
 		Expect(en.Half).To(Equal("east"))
 		Expect(en.Serving()).To(BeTrue())
 	})
 
-	It("lets an endpoint serve as before when a move is canceled before the hand-over", func() {
+	It("lets an endpoint serve again when a move is canceled before the hand-over", func() {
 		si := newSite()
 		si.fleet.inFlight = map[string]int{"engine-0": 1}
-		pl := si.make(assign)
+		pl := si.makePlan(assign)
 		_, err := si.Confirm(ctx, pl.ID, "operators")
 		Expect(err).NotTo(HaveOccurred())
 		pl, err = si.Cancel(ctx, pl.ID)
@@ -246,13 +249,13 @@
 		Expect(si.State.Bundle().Head.Holder("endpoint/engine-0")).To(BeEmpty())
 	})
 
-	It("changes nothing while the platform is behind what another instance has in force", func() {
+	It("changes nothing while the platform shows an older version than another instance has in force", func() {
 		si := newSite()
-		pl := si.make(zoneOut)
-		si.fleet.ahead = 7
+		pl := si.makePlan(zoneOut)
+		si.fleet.peerVersion = 7
 		_, err := si.Confirm(ctx, pl.ID, "operators")
 		Expect(plan.IsKind(err, plan.Unavailable)).To(BeTrue())
-		si.fleet.ahead = -1
+		si.fleet.peerVersion = -1
 		_, err = si.Make(ctx, "operators", "intent", []byte(zoneOut))
 		Expect(err).To(MatchError(ContainSubstring("just started")))
 		bu, _, err := configuration.Read(ctx, si.store, nil)
@@ -264,13 +267,13 @@
 		reached := 0
 		for seed := range uint64(200) {
 			si := newSite()
-			pl := si.make(zoneOut)
+			pl := si.makePlan(zoneOut)
 			si.store.SetRandom(rand.New(rand.NewPCG(seed, 1)))
 			si.store.SetFault(platformfake.LoseSome)
 			_, err := si.Confirm(ctx, pl.ID, "operators")
 			bu, _, readErr := configuration.Read(ctx, si.store, nil)
 			Expect(readErr).NotTo(HaveOccurred())
-			if _, begun := bu.Head.Move(pl.ID); err == nil || begun || si.state(pl.ID) != plan.Confirmed {
+			if _, begun := bu.Head.Move(pl.ID); err == nil || begun || si.planState(pl.ID) != plan.Confirmed {
 				continue
 			}
 			reached++
@@ -288,7 +291,7 @@
 		Expect(reached).To(BeNumerically(">", 0))
 	})
 
-	It("sweeps what nothing names after two sweeps, and keeps what an open plan stands on", func() {
+	It("removes a shard that is unreferenced at two sweeps, and keeps the base version of an open plan", func() {
 		si := newSite()
 		count := func(prefix string) int {
 			li, err := si.store.List(ctx, prefix)
@@ -296,22 +299,22 @@
 			return len(li.Objects)
 		}
 		sw := &plan.Sweeper{Service: si.Service}
-		open := si.make(assign)
-		pl := si.make(zoneOut)
+		open := si.makePlan(assign)
+		pl := si.makePlan(zoneOut)
 		_, err := si.Confirm(ctx, pl.ID, "operators")
 		Expect(err).NotTo(HaveOccurred())
-		stop := si.carry("entry-1", si.Service)
-		si.settled(pl.ID)
+		stop := si.runExecutor("entry-1", si.Service)
+		si.awaitEnd(pl.ID)
 		stop()
 		shards := count(configuration.ShardPrefix)
 		for range 3 {
 			Expect(sw.Sweep(ctx)).To(Succeed())
 		}
-		Expect(count(configuration.ShardPrefix)).To(Equal(shards), "the open plan names the old shard")
+		Expect(count(configuration.ShardPrefix)).To(Equal(shards), "the open plan references the old shard")
 		_, err = si.Cancel(ctx, open.ID)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(sw.Sweep(ctx)).To(Succeed())
-		Expect(count(configuration.ShardPrefix)).To(Equal(shards), "one sweep is not enough")
+		Expect(count(configuration.ShardPrefix)).To(Equal(shards), "a single sweep must not remove the shard")
 		Expect(sw.Sweep(ctx)).To(Succeed())
 		Expect(count(configuration.ShardPrefix)).To(Equal(shards - 1))
 		si.clock.Advance(31 * 24 * time.Hour)
@@ -321,7 +324,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("does not sweep a shard that a publisher is about to name", func() {
+	It("keeps a shard that a publisher is about to reference", func() {
 		si := newSite()
 		first := si.State.Bundle()
 		zo, _ := first.Configuration().Zone("suseong")
@@ -344,13 +347,13 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("refuses while a running plan holds the object", func() {
+	It("refuses a plan while a running plan locks one of its objects", func() {
 		si := newSite()
 		si.fleet.inFlight = map[string]int{"engine-0": 1}
-		first := si.make(assign)
+		first := si.makePlan(assign)
 		_, err := si.Confirm(ctx, first.ID, "operators")
 		Expect(err).NotTo(HaveOccurred())
-		second := si.make(`{"actions": [{"remove_endpoint": "engine-0"}]}`)
+		second := si.makePlan(`{"actions": [{"remove_endpoint": "engine-0"}]}`)
 		pl, err := si.Confirm(ctx, second.ID, "operators")
 		Expect(plan.IsKind(err, plan.Conflict)).To(BeTrue())
 		Expect(pl.Note).To(ContainSubstring(first.ID))
--- a/internal/plan/reason.go
+++ b/internal/plan/reason.go
@@ -1,25 +1,29 @@
 package plan
 
-// Reason is what a Service counts.
+// Reason is a label value of the metric plan_events.
 type Reason string
 
-// The reasons that are counted as plan_events.
+// The values of the label. The Count constants count outcomes of plans.
 const (
 	CountPlanned   Reason = "planned"
 	CountConfirmed Reason = "confirmed"
 	CountRefused   Reason = "refused"
 	CountCanceled  Reason = "canceled"
 	CountDone      Reason = "done"
-	// RefusedUnsettled and RefusedBehind count operations that were refused
-	// because this instance or the platform knows too little.
+	// RefusedUnsettled counts operations that were refused because this instance
+	// has not compared its member view with the other instances yet, and
+	// RefusedBehind those refused because the platform shows an older
+	// configuration than the one in force.
 	RefusedUnsettled Reason = "refused_unsettled"
 	RefusedBehind    Reason = "refused_platform_behind"
-	// SweptShard and SweptPlan count objects removed from the platform.
+	// SweptShard and SweptPlan count objects that the Sweeper removed from the
+	// platform.
 	SweptShard Reason = "swept_shard"
 	SweptPlan  Reason = "swept_plan"
-	// RetryMoved counts steps begun anew because another writer came first.
+	// RetryMoved counts retries of a step because a concurrent writer changed the
+	// head.
 	RetryMoved Reason = "retry_head_moved"
-	// RetryStep counts steps that failed and are made again.
+	// RetryStep counts steps that failed and are retried at the next poll.
 	RetryStep Reason = "retry_step"
 )
 
--- a/internal/plan/record.go
+++ b/internal/plan/record.go
@@ -9,19 +9,21 @@
 	"filbertstall.example/filbertstall/internal/platform"
 )
 
-// Prefix begins the platform key of a plan; its ID follows.
+// Prefix is the prefix of the platform keys of plans; the ID of the plan follows
+// it.
 const Prefix = "plans/"
 
-// saveAttempts bounds how often a write is sent whose answer was lost.
+// saveAttempts limits how often a write is sent if its answer is lost.
 const saveAttempts = 4
 
-// record is a plan as it was read, with the version of its object.
+// record is a plan with the version of its object in the platform, for
+// conditional updates.
 type record struct {
 	Plan
 	object int64
 }
 
-// load reads a plan.
+// load reads a plan from the platform. op is the operation for the error.
 func (se *Service) load(ctx context.Context, op, id string) (record, error) {
 	ob, err := se.Store.Get(ctx, Prefix+id)
 	if platform.IsKind(err, platform.NotFound) {
@@ -37,11 +39,13 @@
 	return re, nil
 }
 
-// errChanged says that a plan's object changed since it was read.
-var errChanged = errors.New("the plan changed meanwhile")
+// errConcurrentWrite says that the object of a plan was changed after it was
+// read, or that every attempt to update the head met a concurrent writer.
+var errConcurrentWrite = errors.New("the plan changed meanwhile")
 
-// save writes a plan if nobody else has since it was read. After a lost answer
-// it reads back whether the write took effect.
+// save writes a plan if its object has not changed since it was read, and
+// returns errConcurrentWrite otherwise. If the answer is lost, it reads the
+// object to find out whether the write took effect.
 func (se *Service) save(ctx context.Context, re record) (record, error) {
 	key := Prefix + re.ID
 	data, err := json.Marshal(re.Plan)
@@ -64,7 +68,7 @@
 			return re, nil
 		}
 		if readErr == nil && ob.Version != re.object || platform.IsKind(err, platform.Conflict) {
-			return re, errChanged
+			return re, errConcurrentWrite
 		}
 	}
 	return re, &Error{Op: "save", Plan: re.ID, Kind: Unavailable, Err: err}
--- a/internal/plan/service.go
+++ b/internal/plan/service.go
@@ -19,31 +19,38 @@
 	"filbertstall.example/filbertstall/internal/platform"
 )
 
-// Report is what an instance says of itself to the others.
+// Report is the status that an instance returns to the other instances. Started
+// is the start time of the instance, and Standing is the configuration that it
+// has in force.
 type Report struct {
 	Name     string    `json:"name"`
 	Zone     string    `json:"zone"`
 	Started  time.Time `json:"started"`
 	Standing configuration.Standing
-	// InFlight is the number of requests at each endpoint that has any.
+	// InFlight is the number of requests in flight by endpoint. Endpoints without
+	// any are left out.
 	InFlight map[string]int `json:"in_flight,omitempty"`
 }
 
-// Answer is a member and its report; Err is set if it gave none.
+// Answer is the result of asking a member for its report. Report is valid only
+// if Err is nil.
 type Answer struct {
 	Member member.Member
 	Report Report
 	Err    error
 }
 
-// Fleet is what a plan needs of the other instances.
+// Fleet gives access to the instances of the fleet.
 type Fleet interface {
 	View() *member.View
-	// Settled tells whether the view has been compared with the other instances.
+	// Settled reports whether this instance has compared its view with the other
+	// instances since it started.
 	Settled() bool
-	// Reports asks every member that is not gone, this instance included.
+	// Reports returns the reports of all members that are not gone, including this
+	// instance.
 	Reports(ctx context.Context) []Answer
-	// StopMember tells an instance to stop, unless it is another one by that name.
+	// StopMember asks an instance to shut down gracefully. A later instance of the
+	// same name refuses the call, unless the start time of the member is unknown.
 	StopMember(ctx context.Context, me member.Member) error
 }
 
@@ -55,15 +62,15 @@
 	Fleet Fleet
 	Clock clockwork.Clock
 	Log   zerolog.Logger
-	// Scope counts what plans came to; nil counts nothing.
+	// Scope receives the metric plan_events; nil disables it.
 	Scope tally.Scope
-	// NewID returns an unused ID; nil means random ones.
+	// NewID returns an unused plan ID. If it is nil, IDs are random.
 	NewID func() string
 
 	events metric.Events[Reason]
 }
 
-// idLength is the length of a plan's ID.
+// idLength is the number of characters of a random plan ID.
 const idLength = 8
 
 func (se *Service) newID() string {
@@ -73,13 +80,17 @@
 	return strings.ToLower(rand.Text()[:idLength])
 }
 
-// Make makes a plan of an intent and keeps it. It changes nothing else.
+// Make builds a plan from the text of an intent file and stores it in the
+// platform. It does not change the configuration. author is the team of the
+// operator, and file names the intent file in errors. The error is of kind
+// Invalid if the intent is wrong and of kind Unavailable if the plan cannot be
+// stored.
 func (se *Service) Make(ctx context.Context, author, file string, data []byte) (Plan, error) {
 	in, err := intent.Parse(file, data)
 	if err != nil {
 		return Plan{}, &Error{Op: "plan", Kind: Invalid, Err: err}
 	}
-	bu, _, err := se.head(ctx, "plan", "")
+	bu, _, err := se.readHead(ctx, "plan", "")
 	if err != nil {
 		return Plan{}, err
 	}
@@ -92,7 +103,7 @@
 		return Plan{}, &Error{Op: "plan", Kind: Invalid, Err: err}
 	}
 	pl.ID, pl.Reason, pl.Intent, pl.Author, pl.Made = se.newID(), in.Reason, string(data), author, se.Clock.Now()
-	if holder := held(bu.Head, pl); holder != "" {
+	if holder := lockHolder(bu.Head, pl); holder != "" {
 		pl.Note = "waits for plan " + holder + ", which holds one of its objects"
 	}
 	re, err := se.save(ctx, record{Plan: pl})
@@ -103,8 +114,9 @@
 	return re.Plan, nil
 }
 
-// held returns a running plan that holds an object of the plan.
-func held(he configuration.Head, pl Plan) string {
+// lockHolder returns the ID of another running plan that locks an object of the
+// plan, or an empty string.
+func lockHolder(he configuration.Head, pl Plan) string {
 	for _, object := range pl.Objects {
 		if holder := he.Holder(object); holder != "" && holder != pl.ID {
 			return holder
@@ -113,23 +125,26 @@
 	return ""
 }
 
-// errBehind says that the platform shows an older configuration.
-var errBehind = errors.New("the platform shows an older configuration than that in force; try again shortly")
+// errPlatformBehind says that the platform shows an older configuration than the
+// one in force.
+var errPlatformBehind = errors.New("the platform shows an older configuration than that in force; try again shortly")
 
-// errUnsettled says that an instance knows too little to change anything.
+// errUnsettled says that this instance has not compared its member view with the
+// other instances yet, so it may not know the highest version in force.
 var errUnsettled = errors.New("this instance has just started and does not know the others yet; try again shortly")
 
-// head reads the configuration in the platform. It fails while the platform is
-// behind what is in force: a change on that ground would revert accepted ones.
-func (se *Service) head(ctx context.Context, op, id string) (*configuration.Bundle, int64, error) {
+// readHead reads the configuration from the platform, with the version of the
+// head's object. It fails while the platform shows an older version than the one
+// in force, since a change on top of it would revert accepted changes.
+func (se *Service) readHead(ctx context.Context, op, id string) (*configuration.Bundle, int64, error) {
 	if !se.Fleet.Settled() {
 		se.count(RefusedUnsettled)
 		return nil, 0, &Error{Op: op, Plan: id, Kind: Unavailable, Err: errUnsettled}
 	}
 	bu, object, err := configuration.Read(ctx, se.Store, se.State.Bundle())
-	if err == nil && bu.Head.Version < se.highest() {
+	if err == nil && bu.Head.Version < se.highestVersion() {
 		se.count(RefusedBehind)
-		err = errBehind
+		err = errPlatformBehind
 	}
 	if err != nil {
 		return nil, 0, &Error{Op: op, Plan: id, Kind: Unavailable, Err: err}
@@ -137,8 +152,9 @@
 	return bu, object, nil
 }
 
-// highest returns the highest version that is known to be in force anywhere.
-func (se *Service) highest() int64 {
+// highestVersion returns the highest configuration version that this instance
+// knows to be in force on any instance.
+func (se *Service) highestVersion() int64 {
 	version := se.State.Version()
 	for _, me := range se.Fleet.View().Members {
 		version = max(version, me.Version)
@@ -146,13 +162,15 @@
 	return version
 }
 
-// Get returns a plan.
+// Get reads a plan from the platform. The error is of kind Unknown if there is no
+// such plan.
 func (se *Service) Get(ctx context.Context, id string) (Plan, error) {
 	re, err := se.load(ctx, "get", id)
 	return re.Plan, err
 }
 
-// List returns all plans in the order of their IDs.
+// List returns all plans in the order of their IDs. It leaves out plans that
+// cannot be decoded.
 func (se *Service) List(ctx context.Context) ([]Plan, error) {
 	li, err := se.Store.List(ctx, Prefix)
 	if err != nil {
--- a/internal/plan/sweep.go
+++ b/internal/plan/sweep.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	// sweepInterval is the time between two sweeps. A shard is removed when it
-	// was not named at two of them, which is far above the time that a
-	// publisher takes from finding a shard to naming it.
+	// sweepInterval is the time between two sweeps. A shard is removed if it was
+	// unreferenced at two consecutive sweeps, because a publisher may have found
+	// the shard but not referenced it yet. The interval is much longer than a
+	// publisher takes for this.
 	sweepInterval = 10 * time.Minute
-	// keepPlans is how long plans that are over are kept.
-	keepPlans = 30 * 24 * time.Hour
+	// planRetention is how long plans in a terminal state are kept.
+	planRetention = 30 * 24 * time.Hour
 )
 
-// Sweeper is the controller that removes shards that nothing names any more,
-// and old plans. Set the fields before Run.
+// Sweeper is the garbage collector of the platform's objects: a controller that
+// removes unreferenced shards and expired plans. Set the fields before Run.
 type Sweeper struct {
 	*Service
-	// Elected tells whether this instance sweeps.
+	// Elected reports whether this instance is the one that sweeps.
 	Elected func() bool
 
-	// idle are the shards that the last sweep found unnamed, by key, with the
-	// version of the object.
-	idle map[string]int64
+	// unreferenced maps the key of each shard that the last sweep found
+	// unreferenced to the version of its object.
+	unreferenced map[string]int64
 }
 
 // Name implements controller.Controller.
 func (sw *Sweeper) Name() string { return "sweep" }
 
-// Run sweeps until ctx ends.
+// Run sweeps at every sweepInterval until ctx ends. It always returns nil.
 func (sw *Sweeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
@@ -44,17 +45,19 @@
 		case <-sw.Clock.After(sweepInterval):
 		}
 		if !sw.Elected() {
-			sw.idle = nil
+			sw.unreferenced = nil
 			continue
 		}
 		if err := sw.Sweep(ctx); err != nil {
-			sw.Log.Warn().Err(err).Msg("plan: sweep not made")
+			sw.Log.Warn().Err(err).Msg("plan: sweep failed; it will be retried after the sweep interval")
 		}
 	}
 	return nil
 }
 
-// Sweep removes what two sweeps in a row found unnamed.
+// Sweep removes the shards that were unreferenced at the last sweep and still
+// are, and the plans that are past planRetention. It removes nothing if the
+// platform cannot be read or shows an older configuration than the one in force.
 func (sw *Sweeper) Sweep(ctx context.Context) error {
 	shards, err := sw.Store.List(ctx, configuration.ShardPrefix)
 	if err != nil {
@@ -64,43 +67,43 @@
 	if err != nil {
 		return err
 	}
-	bu, _, err := sw.head(ctx, "sweep", "")
+	bu, _, err := sw.readHead(ctx, "sweep", "")
 	if err != nil {
 		return err
 	}
-	named := slices.Clone(bu.Head.Shards)
+	referenced := slices.Clone(bu.Head.Shards)
 	for _, ob := range plans.Objects {
 		var pl Plan
 		if err := json.Unmarshal(ob.Value, &pl); err != nil {
 			continue
 		}
 		if !pl.State.Over() {
-			named = append(named, pl.Ground.Shards...)
-		} else if sw.Clock.Since(pl.Ended) > keepPlans {
+			referenced = append(referenced, pl.Ground.Shards...)
+		} else if sw.Clock.Since(pl.Ended) > planRetention {
 			sw.remove(ctx, ob, SweptPlan)
 		}
 	}
-	sw.sweepShards(ctx, shards.Objects, named)
+	sw.sweepShards(ctx, shards.Objects, referenced)
 	return nil
 }
 
-func (sw *Sweeper) sweepShards(ctx context.Context, shards []platform.Object, named []string) {
-	idle := make(map[string]int64)
+func (sw *Sweeper) sweepShards(ctx context.Context, shards []platform.Object, referenced []string) {
+	unreferenced := make(map[string]int64)
 	for _, ob := range shards {
-		if slices.Contains(named, strings.TrimPrefix(ob.Key, configuration.ShardPrefix)) {
+		if slices.Contains(referenced, strings.TrimPrefix(ob.Key, configuration.ShardPrefix)) {
 			continue
 		}
-		if sw.idle[ob.Key] == ob.Version {
+		if sw.unreferenced[ob.Key] == ob.Version {
 			sw.remove(ctx, ob, SweptShard)
 			continue
 		}
-		idle[ob.Key] = ob.Version
+		unreferenced[ob.Key] = ob.Version
 	}
-	sw.idle = idle
+	sw.unreferenced = unreferenced
 }
 
-// remove removes an object if it has not been written since. What is not
-// removed now is found again.
+// remove deletes an object if it has not been written since it was read. It
+// ignores errors, since a later sweep finds the object again.
 func (sw *Sweeper) remove(ctx context.Context, ob platform.Object, re Reason) {
 	if err := sw.Store.Delete(ctx, ob.Key, ob.Version); err == nil {
 		sw.count(re)
