--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -19,13 +19,14 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// watchers is how many instances of a zone watch the configuration.
-const watchers = 2
+// watchersPerZone is the number of instances of a zone that watch the
+// configuration in the platform. The others receive it from their peers.
+const watchersPerZone = 2
 
-// Control is the control side of one instance. Set the exported fields, then
-// call Build before anything else.
+// Control is the control plane of one instance. Set the fields up to Stop, then
+// call Build before any other method. Build sets State, Members and Plans.
 type Control struct {
-	// Self is this instance, with its peer address and start.
+	// Self describes this instance, including its peer address and start time.
 	Self   member.Member
 	Store  platform.Store
 	Caller peer.Caller
@@ -33,9 +34,10 @@
 	Clock  clockwork.Clock
 	Log    zerolog.Logger
 	Scope  tally.Scope
-	// Seeds are peer addresses to ask when the platform does not answer.
+	// Seeds are the peer addresses to ask for members while the platform does not
+	// answer.
 	Seeds []string
-	// Stop begins the orderly stop of this instance.
+	// Stop starts the graceful shutdown of this instance.
 	Stop func()
 
 	State    *configuration.State
@@ -48,14 +50,14 @@
 	counter  *Counter
 }
 
-// Build makes the parts.
+// Build creates the controllers and services from the exported fields.
 func (co *Control) Build() {
-	// Other instances learn the start in milliseconds, and compare it.
+	// Other instances receive the start time in milliseconds and compare it.
 	co.Self.Started = co.Self.Started.Truncate(time.Millisecond)
 	co.State = &configuration.State{Holder: co.Holder, Log: co.Log, Scope: co.Scope}
 	co.Members = &member.Table{
 		Self: co.Self, Store: co.Store, Caller: co.Caller, Clock: co.Clock, Log: co.Log, Scope: co.Scope,
-		Seeds: co.Seeds, Version: co.State.Version, Seen: co.seen,
+		Seeds: co.Seeds, Version: co.State.Version, Seen: co.memberSeen,
 	}
 	co.watcher = &configuration.Watcher{Store: co.Store, State: co.State, Clock: co.Clock, Log: co.Log, Elected: co.elected}
 	co.spreader = &configuration.Spreader{
@@ -68,12 +70,12 @@
 	co.executor = &plan.Executor{Service: co.Plans, Self: co.Self.Name, Candidate: co.Members.FirstOfAll}
 }
 
-// Controllers returns what has to run.
+// Controllers returns the controllers that the process must run.
 func (co *Control) Controllers() []controller.Controller {
 	return []controller.Controller{co.watcher, co.spreader, co.Members, co.executor, co.sweeper}
 }
 
-// Register publishes the calls that other instances make.
+// Register registers the services of Services with the peer server.
 func (co *Control) Register(se *peer.Server) error {
 	for name, service := range co.Services() {
 		if err := se.Register(name, service); err != nil {
@@ -83,7 +85,8 @@
 	return nil
 }
 
-// Services returns the receivers of other instances' calls by their names.
+// Services returns the RPC services for other instances by their registered
+// names.
 func (co *Control) Services() map[string]any {
 	return map[string]any{
 		configuration.ServiceName: &configuration.Service{State: co.State, Spreader: co.spreader},
@@ -92,20 +95,22 @@
 	}
 }
 
-// Count returns a granter that counts the grants in use by endpoint.
+// Count returns a granter that passes all calls to gr and counts the grants in
+// use by endpoint.
 func (co *Control) Count(gr admission.Granter) admission.Granter {
 	co.counter.Granter = gr
 	return co.counter
 }
 
-// elected tells whether this instance watches the platform. One without a
-// configuration does in any case.
+// elected reports whether this instance watches the platform. An instance
+// without a configuration always does.
 func (co *Control) elected() bool {
-	return co.State.Version() == 0 || co.Members.First("configuration", watchers)
+	return co.State.Version() == 0 || co.Members.First("configuration", watchersPerZone)
 }
 
-// seen pulls the configuration from a member that shows a higher version.
-func (co *Control) seen(me member.Member) {
+// memberSeen receives the version in force at another member. It lets the
+// spreader pull the configuration from a member that has a higher version.
+func (co *Control) memberSeen(me member.Member) {
 	co.spreader.Seen(configuration.Notice{Version: me.Version, Zone: me.Zone, Address: me.Peer})
 }
 
@@ -115,7 +120,7 @@
 // Settled implements plan.Fleet.
 func (co *Control) Settled() bool { return co.Members.Settled() }
 
-// peers shows the members to the spreader.
+// peers gives the spreader access to the members.
 type peers struct{ table *member.Table }
 
 // ZonePeers implements configuration.Peers.
@@ -132,12 +137,13 @@
 	return list
 }
 
-// Leave tells the other instances that this one stops.
+// Leave tells the other instances that this instance stops. It takes at most
+// leaveTimeout.
 func (co *Control) Leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	co.Members.Leave(ctx)
 }
 
-// leaveTimeout bounds how long an instance that stops tells the others.
+// leaveTimeout limits how long a stopping instance tries to notify the others.
 const leaveTimeout = time.Second
--- a/internal/control/counter.go
+++ b/internal/control/counter.go
@@ -21,9 +21,10 @@
 	inFlight map[string]int
 }
 
-// Acquire implements admission.Granter. A grant that was decided on an older
-// configuration is counted first and then checked again: whoever reads a count
-// of zero after a version is in force can rely on no such grant being used.
+// Acquire implements admission.Granter. It counts a grant first and then checks
+// it against the configuration in force. If InFlight reports zero for a drained
+// endpoint after the drain is in force, no grant that was decided on an older
+// configuration is used later.
 func (co *Counter) Acquire(ctx context.Context, re admission.Request) (*admission.Grant, error) {
 	for {
 		gr, err := co.Granter.Acquire(ctx, re)
@@ -31,18 +32,19 @@
 			return nil, err
 		}
 		co.add(gr.Endpoint.Name, 1)
-		if co.stands(gr) {
+		if co.stillEligible(gr) {
 			return gr, nil
 		}
 		co.Release(gr, admission.Outcome{Result: admission.NotBegun})
-		// A granter that is behind the configuration would offer it again.
+		// A granter with an older configuration would return this endpoint again.
 		re.Exclude = append(slices.Clone(re.Exclude), gr.Endpoint.Name)
 	}
 }
 
-// stands tells whether the grant would be given now. A request that goes on
-// with a generation at its endpoint is never turned away.
-func (co *Counter) stands(gr *admission.Grant) bool {
+// stillEligible reports whether the configuration in force still allows the
+// grant. A request that continues a generation at its endpoint is always
+// allowed.
+func (co *Counter) stillEligible(gr *admission.Grant) bool {
 	if gr.Request.Only != "" {
 		return true
 	}
@@ -69,7 +71,8 @@
 	}
 }
 
-// InFlight returns the number of grants in use at each endpoint that has any.
+// InFlight returns the number of grants in use by endpoint. Endpoints without any
+// are left out.
 func (co *Counter) InFlight() map[string]int {
 	co.mu.Lock()
 	defer co.mu.Unlock()
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -24,7 +24,7 @@
 )
 
 func init() {
-	// A fixed seed gives CI the same verdict every run.
+	// A fixed seed makes runs of CI reproducible.
 	_ = flag.Set("rapid.seed", "20261203")
 	_ = flag.Set("rapid.nofailfile", "true")
 	_ = flag.Set("rapid.checks", "25")
@@ -32,8 +32,9 @@
 
 var zones = []string{"buk-gu", "dalseo", "gyeongsan", "suseong"}
 
-// fleet is a deployment in one process on virtual time: real controllers over
-// a fake platform and an in-memory transport. It runs inside a synctest bubble.
+// fleet simulates a deployment in one process: real controllers with a fake
+// platform and an in-memory transport. It runs inside a synctest bubble, which
+// provides the virtual time.
 type fleet struct {
 	t     testing.TB
 	clock clockwork.Clock
@@ -91,7 +92,7 @@
 	return fl
 }
 
-// start starts one more instance and lists it in the platform.
+// start starts another instance and adds it to the platform's list.
 func (fl *fleet) start() *node {
 	ix := len(fl.nodes)
 	self := member.Member{
@@ -129,7 +130,7 @@
 	return fmt.Sprintf("p%03d", fl.ids)
 }
 
-// list tells the platform which instances are up.
+// list updates the platform's list of instances to those that run.
 func (fl *fleet) list() {
 	var list []platform.Instance
 	for _, no := range fl.nodes {
@@ -140,7 +141,7 @@
 	fl.store.SetInstances(list)
 }
 
-// kill ends an instance at once.
+// kill stops an instance without a graceful shutdown.
 func (fl *fleet) kill(no *node) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -153,7 +154,8 @@
 	fl.list()
 }
 
-// stop ends all instances; the bubble must not keep any goroutine.
+// stop stops all instances and waits for them, since a synctest bubble must end
+// without running goroutines.
 func (fl *fleet) stop() {
 	for _, no := range fl.nodes {
 		no.cancel()
@@ -176,8 +178,8 @@
 	return list
 }
 
-// until lets virtual time pass until a condition holds, and returns how long
-// that took, or limit.
+// until lets virtual time pass until a condition holds or limit is reached, and
+// returns the time that passed.
 func (fl *fleet) until(limit, step time.Duration, holds func() bool) time.Duration {
 	begin := fl.clock.Now()
 	for !holds() {
@@ -189,7 +191,8 @@
 	return fl.clock.Since(begin)
 }
 
-// inForce tells whether a version or a higher one is in force on all.
+// inForce reports whether the version or a higher one is in force on all running
+// instances.
 func (fl *fleet) inForce(version int64) bool {
 	for _, no := range fl.up() {
 		if no.State.Version() < version {
@@ -199,7 +202,8 @@
 	return true
 }
 
-// settle waits until the fleet has started.
+// settle waits until all instances have a configuration and have probed each
+// other.
 func (fl *fleet) settle() {
 	fl.until(time.Minute, 100*time.Millisecond, func() bool { return fl.inForce(1) })
 	time.Sleep(3 * member.ProbeInterval)
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -12,28 +12,28 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// history follows every head that the platform accepts, and what each instance
-// has in force, and keeps what contradicts the promises.
+// history observes every head that the platform accepts and the configuration in
+// force on each instance, and records violations of the guarantees on them.
 type history struct {
 	fl *fleet
 
-	mu       sync.Mutex
-	faults   []string
-	contents map[int64][]string
-	moves    map[string]configuration.Move
-	marks    map[string]int64
-	begun    []string
-	top      int64
-	inForce  map[string]int64
+	mu           sync.Mutex
+	violations   []string
+	shards       map[int64][]string
+	moves        map[string]configuration.Move
+	stepVersions map[string]int64
+	begun        []string
+	latest       int64
+	inForce      map[string]int64
 }
 
 func newHistory(fl *fleet) *history {
 	return &history{
-		fl: fl, contents: make(map[int64][]string), moves: make(map[string]configuration.Move), inForce: make(map[string]int64), marks: make(map[string]int64),
+		fl: fl, shards: make(map[int64][]string), moves: make(map[string]configuration.Move), inForce: make(map[string]int64), stepVersions: make(map[string]int64),
 	}
 }
 
-// run watches the platform over a connection of its own until ctx ends.
+// run watches the platform over a separate connection until ctx ends.
 func (hi *history) run(ctx context.Context) {
 	st := hi.fl.store.Connect()
 	var revision int64
@@ -43,35 +43,35 @@
 			continue
 		}
 		for _, ob := range li.Objects {
-			hi.head(ob.Value)
+			hi.recordHead(ob.Value)
 		}
 		revision = li.Revision
 	}
 }
 
-func (hi *history) fault(format string, args ...any) {
-	hi.faults = append(hi.faults, fmt.Sprintf(format, args...))
+func (hi *history) reportViolation(format string, args ...any) {
+	hi.violations = append(hi.violations, fmt.Sprintf(format, args...))
 }
 
-func (hi *history) head(data []byte) {
+func (hi *history) recordHead(data []byte) {
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
 	var he configuration.Head
 	if err := json.Unmarshal(data, &he); err != nil {
-		hi.fault("head: %v", err)
+		hi.reportViolation("head: %v", err)
 		return
 	}
-	hi.content(he)
-	if he.Version <= hi.top {
+	hi.checkVersionContent(he)
+	if he.Version <= hi.latest {
 		return
 	}
-	hi.top = he.Version
+	hi.latest = he.Version
 	for _, id := range hi.begun {
 		if mo, found := he.Move(id); !found || mo.Steps < hi.moves[id].Steps {
-			hi.fault("version %d forgot a step of plan %s, which would be applied again", he.Version, id)
+			hi.reportViolation("version %d lost a step of plan %s, which would be applied again", he.Version, id)
 		}
 	}
-	hi.written(he)
+	hi.checkStepOnce(he)
 	for _, mo := range he.Moves {
 		if _, known := hi.moves[mo.Plan]; !known && mo.Steps > 0 {
 			hi.begun = append(hi.begun, mo.Plan)
@@ -80,30 +80,31 @@
 	}
 }
 
-// written checks that no plan writes the same step into the head twice. The
-// last move of a head is that of the plan that wrote it.
-func (hi *history) written(he configuration.Head) {
+// checkStepOnce checks that no plan writes the same step into the head twice. The
+// last move of a head belongs to the plan that wrote the head.
+func (hi *history) checkStepOnce(he configuration.Head) {
 	if len(he.Moves) == 0 {
 		return
 	}
 	mo := he.Moves[len(he.Moves)-1]
 	mark := fmt.Sprintf("%s after %d steps, done %t", mo.Plan, mo.Steps, mo.Done)
-	if version, twice := hi.marks[mark]; twice {
-		hi.fault("versions %d and %d are both plan %s", version, he.Version, mark)
+	if version, twice := hi.stepVersions[mark]; twice {
+		hi.reportViolation("versions %d and %d were both written by plan %s", version, he.Version, mark)
 	}
-	hi.marks[mark] = he.Version
+	hi.stepVersions[mark] = he.Version
 }
 
-// content checks that a version number only ever names one configuration.
-func (hi *history) content(he configuration.Head) {
-	shards, known := hi.contents[he.Version]
+// checkVersionContent checks that each version number refers to a single
+// configuration.
+func (hi *history) checkVersionContent(he configuration.Head) {
+	shards, known := hi.shards[he.Version]
 	if known && !slices.Equal(shards, he.Shards) {
-		hi.fault("version %d names two configurations", he.Version)
+		hi.reportViolation("version %d refers to two configurations", he.Version)
 	}
-	hi.contents[he.Version] = he.Shards
+	hi.shards[he.Version] = he.Shards
 }
 
-// sample checks what is in force on each instance.
+// sample checks the configuration in force on each running instance.
 func (hi *history) sample() {
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
@@ -113,17 +114,17 @@
 			continue
 		}
 		if bu.Head.Version < hi.inForce[no.Self.Name] {
-			hi.fault("%s went back from version %d to %d", no.Self.Name, hi.inForce[no.Self.Name], bu.Head.Version)
+			hi.reportViolation("%s reverted from version %d to %d", no.Self.Name, hi.inForce[no.Self.Name], bu.Head.Version)
 		}
 		if cf := no.holder.Load(); cf.Version() < bu.Head.Version {
-			hi.fault("%s says version %d and serves version %d", no.Self.Name, bu.Head.Version, cf.Version())
+			hi.reportViolation("%s reports version %d but serves version %d", no.Self.Name, bu.Head.Version, cf.Version())
 		}
 		hi.inForce[no.Self.Name] = bu.Head.Version
-		hi.content(bu.Head)
+		hi.checkVersionContent(bu.Head)
 	}
 }
 
-// highest returns the highest version that was in force anywhere.
+// highest returns the highest version that was in force on any instance.
 func (hi *history) highest() int64 {
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
@@ -134,22 +135,24 @@
 	return version
 }
 
-// applied returns the plans that began, in their order.
+// applied returns the IDs of the plans whose first step was applied, in that
+// order.
 func (hi *history) applied() []string {
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
 	return slices.Clone(hi.begun)
 }
 
-// contradictions returns what went wrong so far.
-func (hi *history) contradictions() []string {
+// foundViolations returns the violations found so far.
+func (hi *history) foundViolations() []string {
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
-	return slices.Clone(hi.faults)
+	return slices.Clone(hi.violations)
 }
 
-// last returns for each object the change of the last plan that touched it.
-func last(plans []plan.Plan) map[string]plan.Change {
+// lastChanges returns, for each object, the change of the last plan that changed
+// it.
+func lastChanges(plans []plan.Plan) map[string]plan.Change {
 	changes := make(map[string]plan.Change)
 	for _, pl := range plans {
 		for _, st := range pl.Steps {
@@ -161,8 +164,8 @@
 	return changes
 }
 
-// objectOf returns the JSON of the object that a change is about, empty for
-// none.
+// objectOf returns the JSON of the object that a change refers to, or an empty
+// string if the configuration does not have it.
 func objectOf(cf *kind.Configuration, ch plan.Change) string {
 	empty, err := kind.NewConfiguration(kind.Document{})
 	if err != nil {
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -19,7 +19,7 @@
 
 // action is one step of a drawn scenario.
 type action struct {
-	// Kind is what happens; A and B choose instances, zones and intents.
+	// Kind is one of kinds. A and B select the instances, zones and intents.
 	Kind string
 	A, B int
 }
@@ -35,23 +35,23 @@
 	}), 4, 16).Draw(rt, "actions")
 }
 
-// machine carries a scenario out on a fleet.
+// machine executes a drawn scenario on a fleet.
 type machine struct {
 	*fleet
-	hi        *history
-	backup    map[string]platform.Object
-	restored  bool
-	confirmed map[string]bool
-	pairs     [][2]string
-	faults    []string
+	hi         *history
+	backup     map[string]platform.Object
+	restored   bool
+	confirmed  map[string]bool
+	races      [][2]string
+	violations []string
 }
 
-func (ma *machine) fault(format string, args ...any) {
-	ma.faults = append(ma.faults, fmt.Sprintf(format, args...))
+func (ma *machine) reportViolation(format string, args ...any) {
+	ma.violations = append(ma.violations, fmt.Sprintf(format, args...))
 }
 
-// pass lets time pass and looks at every instance as it does.
-func (ma *machine) pass(du time.Duration) {
+// elapse lets virtual time pass and samples the history every 50 ms.
+func (ma *machine) elapse(du time.Duration) {
 	const step = 50 * time.Millisecond
 	for ; du > 0; du -= step {
 		time.Sleep(step)
@@ -77,7 +77,7 @@
 	}
 }
 
-// race lets two operators make plans and confirm them at the same moment.
+// race makes two plans and confirms them concurrently on two instances.
 func (ma *machine) race(a, b int) {
 	nodes := ma.up()
 	first, second := nodes[a%len(nodes)], nodes[b%len(nodes)]
@@ -88,14 +88,14 @@
 	if errOne != nil || errTwo != nil {
 		return
 	}
-	ma.pairs = append(ma.pairs, [2]string{one.ID, two.ID})
+	ma.races = append(ma.races, [2]string{one.ID, two.ID})
 	var wg sync.WaitGroup
 	var okOne, okTwo bool
 	wg.Go(func() { okOne = confirm(ctx, first, one) })
 	wg.Go(func() { okTwo = confirm(ctx, second, two) })
 	wg.Wait()
 	if okOne && okTwo && one.Ground.Version == two.Ground.Version {
-		ma.fault("plans %s and %s on version %d were both confirmed", one.ID, two.ID, one.Ground.Version)
+		ma.reportViolation("plans %s and %s with base version %d were both confirmed", one.ID, two.ID, one.Ground.Version)
 	}
 	ma.confirmed[one.ID] = okOne
 	ma.confirmed[two.ID] = okTwo
@@ -106,7 +106,7 @@
 	return err == nil
 }
 
-func (ma *machine) act(ac action) {
+func (ma *machine) perform(ac action) {
 	nodes := ma.up()
 	no := nodes[ac.A%len(nodes)]
 	switch ac.Kind {
@@ -135,7 +135,7 @@
 	case "heal":
 		ma.heal()
 	}
-	ma.pass(time.Duration(ac.B%40) * 100 * time.Millisecond)
+	ma.elapse(time.Duration(ac.B%40) * 100 * time.Millisecond)
 }
 
 func (ma *machine) heal() {
@@ -147,31 +147,32 @@
 	}
 }
 
-// finish heals everything and checks where the fleet ends up.
+// finish removes all faults, waits, and checks the final state of the fleet.
 func (ma *machine) finish() {
 	ma.heal()
-	ma.pass(40 * time.Second)
+	ma.elapse(40 * time.Second)
 	version := ma.hi.highest()
 	for _, no := range ma.up() {
 		if no.State.Version() != version {
-			ma.fault("%s ends at version %d, the highest in force was %d", no.Self.Name, no.State.Version(), version)
+			ma.reportViolation("%s ends at version %d, the highest in force was %d", no.Self.Name, no.State.Version(), version)
 		}
 	}
 	bu, _, err := configuration.Read(ma.t.Context(), ma.store, nil)
 	if err != nil || bu.Head.Version != version {
-		ma.fault("the platform does not end with version %d: %v", version, err)
+		ma.reportViolation("the platform does not end with version %d: %v", version, err)
 	}
-	for _, pair := range ma.pairs {
-		ma.checkPair(pair)
+	for _, pair := range ma.races {
+		ma.checkRace(pair)
 	}
 	if !ma.restored {
 		ma.checkPlans()
 	}
-	ma.faults = append(ma.faults, ma.hi.contradictions()...)
+	ma.violations = append(ma.violations, ma.hi.foundViolations()...)
 }
 
-// checkPair checks that at most one of two racing plans changed anything.
-func (ma *machine) checkPair(pair [2]string) {
+// checkRace checks that at most one of two concurrent plans with the same base
+// version was applied.
+func (ma *machine) checkRace(pair [2]string) {
 	began := 0
 	for _, id := range ma.hi.applied() {
 		if id == pair[0] || id == pair[1] {
@@ -181,32 +182,32 @@
 	one, errOne := ma.up()[0].Plans.Get(ma.t.Context(), pair[0])
 	two, errTwo := ma.up()[0].Plans.Get(ma.t.Context(), pair[1])
 	if errOne == nil && errTwo == nil && one.Ground.Version == two.Ground.Version && began > 1 {
-		ma.fault("plans %s and %s on one ground both began", pair[0], pair[1])
+		ma.reportViolation("plans %s and %s with the same base version were both applied", pair[0], pair[1])
 	}
 }
 
-// checkPlans checks that confirmed plans are done, and that each object is as
-// the last plan that touched it says.
+// checkPlans checks that confirmed plans are done, and that each object is in the
+// state that the last plan that changed it requires.
 func (ma *machine) checkPlans() {
 	no := ma.up()[0]
 	for id, ok := range ma.confirmed {
 		if pl, err := no.Plans.Get(ma.t.Context(), id); ok && (err != nil || pl.State != plan.Done) {
-			ma.fault("confirmed plan %s ends as %s: %v: %s", id, pl.State, err, pl.Steps[min(pl.Current(), len(pl.Steps)-1)].Note)
+			ma.reportViolation("confirmed plan %s ends as %s: %v: %s", id, pl.State, err, pl.Steps[min(pl.Current(), len(pl.Steps)-1)].Note)
 		}
 	}
 	var plans []plan.Plan
 	for _, id := range ma.hi.applied() {
 		pl, err := no.Plans.Get(ma.t.Context(), id)
 		if err != nil {
-			ma.fault("plan %s: %v", id, err)
+			ma.reportViolation("plan %s: %v", id, err)
 			return
 		}
 		plans = append(plans, pl)
 	}
 	cf := no.State.Bundle().Configuration()
-	for object, ch := range last(plans) {
+	for object, ch := range lastChanges(plans) {
 		if current := objectOf(cf, ch); current != string(ch.After) {
-			ma.fault("%s ends as %s, planned was %s", object, current, ch.After)
+			ma.reportViolation("%s ends as %s, want %s", object, current, ch.After)
 		}
 	}
 }
@@ -223,15 +224,15 @@
 			fl.settle()
 			ma.backup = fl.store.Copy()
 			for _, ac := range actions {
-				ma.act(ac)
+				ma.perform(ac)
 			}
 			ma.finish()
-			faults = ma.faults
+			faults = ma.violations
 			cancel()
 			fl.stop()
 		})
 		if len(faults) > 0 {
-			rt.Fatalf("%d faults: %q", len(faults), faults)
+			rt.Fatalf("%d violations: %q", len(faults), faults)
 		}
 	})
 }
--- a/internal/control/move_test.go
+++ b/internal/control/move_test.go
@@ -16,7 +16,7 @@
 
 const handOver = `{"actions": [{"assign": {"endpoint": "engine-0", "half": "east"}}]}`
 
-// get reads a plan from the platform without delay.
+// get reads a plan directly from the platform's store, without its delay.
 func (fl *fleet) get(id string) plan.Plan {
 	ob, err := fl.store.Get(fl.t.Context(), plan.Prefix+id)
 	if err != nil {
@@ -29,8 +29,9 @@
 	return pl
 }
 
-// A move goes on when the instance that carries it out is killed at any step,
-// and no request at the endpoint is cut: the hand-over waits for it.
+// A plan that moves an endpoint must finish when the instance that executes it is
+// killed at any step. The hand-over must wait until the request at the endpoint
+// has finished.
 func TestMoveKilledAtEveryStep(t *testing.T) {
 	for killAt := range 5 {
 		synctest.Test(t, func(t *testing.T) {
@@ -46,8 +47,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			pl := made(t, fl.nodes[0], handOver)
-			confirmed(t, fl.nodes[0], pl)
+			pl := makePlan(t, fl.nodes[0], handOver)
+			confirmPlan(t, fl.nodes[0], pl)
 			released := fl.clock.Now().Add(2 * time.Second)
 			killed := false
 			took := fl.until(2*time.Minute, 4*time.Millisecond, func() bool {
@@ -61,12 +62,12 @@
 				}
 				en, _ := user.holder.Load().Endpoint("engine-0")
 				if gr != nil && en.Half == "east" {
-					t.Errorf("killed at step %d: handed over under a running request", killAt)
+					t.Errorf("killed at step %d: handed over while a request was running", killAt)
 				}
 				return now.State == plan.Done
 			})
 			if !killed {
-				t.Errorf("nobody was killed at step %d", killAt)
+				t.Errorf("no instance was killed at step %d", killAt)
 			}
 			time.Sleep(5 * time.Second)
 			for _, no := range fl.up() {
@@ -80,11 +81,11 @@
 	}
 }
 
-// killOwner kills the instance that carries a plan out, unless it has the
-// request.
-func (fl *fleet) killOwner(name string, spare *node) bool {
+// killOwner kills the instance that executes a plan, unless it is the protected
+// one, which holds the request. It reports whether it killed an instance.
+func (fl *fleet) killOwner(name string, protected *node) bool {
 	for _, no := range fl.up() {
-		if no.Self.Name == name && no != spare {
+		if no.Self.Name == name && no != protected {
 			fl.kill(no)
 			return true
 		}
@@ -92,8 +93,9 @@
 	return false
 }
 
-// A grant that was decided before a drain is in force, and counted after it,
-// is not used: the report of an idle endpoint stays true.
+// A grant that was decided before a drain is in force and counted after it must
+// not be used. Otherwise the endpoint would receive a request after it has been
+// reported as idle.
 func TestLateGrantIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, 2, 8)
@@ -101,10 +103,10 @@
 		fl.settle()
 		no := fl.nodes[0]
 		inner := &admission.Local{Configuration: &no.holder}
-		pl := made(t, no, `{"actions": [{"drain_endpoint": "engine-0"}]}`)
+		pl := makePlan(t, no, `{"actions": [{"drain_endpoint": "engine-0"}]}`)
 		late := no.Count(lateGranter{Local: inner, before: func() {
 			if no.State.Version() == 1 {
-				confirmed(t, no, pl)
+				confirmPlan(t, no, pl)
 			}
 		}})
 		gr, err := late.Acquire(t.Context(), admission.Request{ID: "r", Service: "filbert-pool"})
@@ -112,28 +114,30 @@
 			t.Fatal(err)
 		}
 		if gr.Endpoint.Name == "engine-0" {
-			t.Error("the request goes to an endpoint that drains")
+			t.Error("the request was granted a draining endpoint")
 		}
 	})
 }
 
-// lateGranter calls before between the decision on a grant and its use.
+// lateGranter calls before after a grant has been decided and before it is
+// returned.
 type lateGranter struct {
 	*admission.Local
 	before func()
 }
 
-// TestStopAndRoll stops an instance and waits for another in its place.
+// A plan that rolls an instance must stop it and end only after a replacement is
+// live in the same zone.
 func TestStopAndRoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, 7, 8)
 		defer fl.stop()
 		fl.settle()
-		pl := made(t, fl.nodes[0], `{"actions": [{"roll_instance": "entry-2"}]}`)
-		confirmed(t, fl.nodes[0], pl)
+		pl := makePlan(t, fl.nodes[0], `{"actions": [{"roll_instance": "entry-2"}]}`)
+		confirmPlan(t, fl.nodes[0], pl)
 		fl.until(time.Minute, 100*time.Millisecond, func() bool { return fl.get(pl.ID).Current() == 1 })
 		if fl.nodes[2].up {
-			t.Fatal("entry-2 runs on")
+			t.Fatal("entry-2 still runs")
 		}
 		time.Sleep(10 * time.Second)
 		if st := fl.get(pl.ID).State; st != plan.Confirmed {
@@ -151,17 +155,18 @@
 	})
 }
 
-// A new instance serves the configuration in force while the platform is down,
-// and an instance that starts on a platform restored from an old copy neither
-// keeps the old version nor lets a plan revert the accepted one.
+// A new instance must obtain the configuration in force from its peers while the
+// platform is down. An instance that starts after the platform was restored from
+// an old backup must neither keep the old version nor make a plan that reverts
+// the accepted one.
 func TestStartWithoutPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, 7, 8)
 		defer fl.stop()
 		fl.settle()
 		old := fl.store.Copy()
-		pl := made(t, fl.nodes[0], weight(9))
-		confirmed(t, fl.nodes[0], pl)
+		pl := makePlan(t, fl.nodes[0], weight(9))
+		confirmPlan(t, fl.nodes[0], pl)
 		fl.until(time.Minute, 50*time.Millisecond, func() bool { return fl.get(pl.ID).State == plan.Done })
 		fl.store.SetFault(platformfake.Down)
 		for _, no := range fl.nodes {
@@ -177,7 +182,7 @@
 		fl.store.Restore(old)
 		late := fl.start()
 		if _, err := late.Plans.Make(t.Context(), "operators", "intent", []byte(weight(3))); !plan.IsKind(err, plan.Unavailable) {
-			t.Errorf("a plan was made on the old copy: %v", err)
+			t.Errorf("a plan was made from the old backup: %v", err)
 		}
 		for _, it := range fl.nodes {
 			it.store.SetFault(platformfake.None)
@@ -188,16 +193,16 @@
 				t.Errorf("%s has weight %d after the platform was restored", it.Self.Name, te.Weight)
 			}
 		}
-		next := made(t, late, weight(3))
+		next := makePlan(t, late, weight(3))
 		if next.Ground.Version < 2 {
-			t.Errorf("a plan stands on version %d of the old copy", next.Ground.Version)
+			t.Errorf("a plan has base version %d of the old backup", next.Ground.Version)
 		}
 	})
 }
 
-// The members of a zone that is cut off are suspected, never gone, while the
-// platform lists them, and live again once the zone is joined; the answer to
-// who has a version in force names them.
+// The members of an isolated zone must be suspected, but not gone, while the
+// platform lists them, and live again after the partition has healed. The count
+// of the instances that have a version in force must list them as missing.
 func TestCutOffZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, 7, 8)
@@ -207,22 +212,22 @@
 		for _, no := range []*node{fl.nodes[1], fl.nodes[5]} {
 			no.store.SetFault(platformfake.Down)
 		}
-		confirmed(t, fl.nodes[0], made(t, fl.nodes[0], weight(9)))
+		confirmPlan(t, fl.nodes[0], makePlan(t, fl.nodes[0], weight(9)))
 		time.Sleep(30 * time.Second)
 		for _, me := range fl.nodes[0].View().In(zones[1], member.Live, member.Gone) {
-			t.Errorf("%s is %s while its zone is cut off", me.Name, me.State)
+			t.Errorf("%s is %s while its zone is isolated", me.Name, me.State)
 		}
 		in := plan.CountInForce(2, fl.nodes[0].Reports(t.Context()))
 		if in.On != 5 || in.Of != 7 || len(in.Missing) != 2 {
-			t.Errorf("status says %v", in)
+			t.Errorf("unexpected count: %v", in)
 		}
 		for no, want := range map[*node]string{fl.nodes[0]: "dalseo", fl.nodes[1]: "buk-gu gyeongsan suseong"} {
 			status, err := no.Status(t.Context())
 			if got := strings.Join(status.CutOff, " "); err != nil || got != want {
-				t.Errorf("%s says that %q is cut off, %q is: %v", no.Self.Name, got, want, err)
+				t.Errorf("%s reports isolated zones %q, want %q: %v", no.Self.Name, got, want, err)
 			}
 			if said := strings.Contains(status.Platform, "has not answered"); said != (no == fl.nodes[1]) {
-				t.Errorf("%s says that the platform %s", no.Self.Name, status.Platform)
+				t.Errorf("%s reports an unexpected platform status: %s", no.Self.Name, status.Platform)
 			}
 		}
 		for _, me := range fl.nodes[1].View().In(zones[1], member.Suspected) {
@@ -230,10 +235,10 @@
 		}
 		fl.net.Cut(zones[1], false)
 		took := fl.until(time.Minute, 10*time.Millisecond, func() bool { return fl.inForce(2) })
-		t.Logf("in force on the zone %v after it was joined", took)
+		t.Logf("in force in the zone %v after the partition healed", took)
 		time.Sleep(3 * member.ProbeInterval)
 		if live := fl.nodes[0].View().In(zones[1], member.Live); len(live) != 2 {
-			t.Errorf("%d of 2 are live after the zone was joined", len(live))
+			t.Errorf("%d of 2 are live after the partition healed", len(live))
 		}
 	})
 }
--- a/internal/control/route.go
+++ b/internal/control/route.go
@@ -13,22 +13,24 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// requestTimeout bounds an operator's request.
+// requestTimeout is the timeout of an operator's request.
 const requestTimeout = 10 * time.Second
 
 // FleetStatus is the answer to GET /fleet.
 type FleetStatus struct {
-	// Instance answered, and Zone is where it is.
+	// Instance is the instance that answers, and Zone is its zone.
 	Instance string       `json:"instance"`
 	Zone     string       `json:"zone"`
 	InForce  plan.InForce `json:"in_force"`
-	// Platform is how the answering instance stands to the platform.
+	// Platform describes how the answering instance sees the platform, for
+	// example "in step".
 	Platform string `json:"platform"`
-	// CutOff are the zones of which no instance answers the answering one.
+	// CutOff lists the zones that are isolated from the answering instance: none
+	// of their instances answers it.
 	CutOff  []string      `json:"cut_off,omitempty"`
 	Zones   []kind.Zone   `json:"zones"`
 	Members []FleetMember `json:"members"`
-	// Running are the plans that are being carried out.
+	// Running lists the plans that are being executed.
 	Running  []plan.Plan     `json:"running"`
 	Capacity []plan.Capacity `json:"capacity"`
 }
@@ -40,18 +42,20 @@
 	State    string `json:"state"`
 	Version  int64  `json:"version"`
 	InFlight int    `json:"in_flight"`
-	// Note says what is out of the ordinary.
+	// Note describes a problem with the instance; it is empty if there is none.
 	Note string `json:"note,omitempty"`
 }
 
-// PlanAnswer is the answer to requests about one plan.
+// PlanAnswer is the answer to a request that concerns one plan.
 type PlanAnswer struct {
 	Plan plan.Plan `json:"plan"`
-	// Conflict says why the plan was refused; the status is then 409.
+	// Conflict says why the operation conflicts with the state of the plan or of
+	// the configuration. The HTTP status is then 409.
 	Conflict string `json:"conflict,omitempty"`
 }
 
-// Routes returns the paths of the operator API.
+// Routes returns the routes of the operator API for the fleet, the objects of
+// the configuration and plans.
 func (co *Control) Routes() map[string]operator.Route {
 	return map[string]operator.Route{
 		"GET /fleet":          {Role: kind.RoleView, Serve: co.serveFleet},
@@ -63,43 +67,43 @@
 	}
 }
 
-func argument(re operator.Request, name string) string {
+func queryArgument(re operator.Request, name string) string {
 	return string(re.HTTP.QueryArgs().Peek(name))
 }
 
-func timeout() (context.Context, context.CancelFunc) {
+func requestContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), requestTimeout)
 }
 
 func (co *Control) makePlan(re operator.Request) (any, error) {
-	ctx, cancel := timeout()
+	ctx, cancel := requestContext()
 	defer cancel()
-	pl, err := co.Plans.Make(ctx, re.Team.Name, argument(re, "file"), re.HTTP.PostBody())
-	return answer(re, pl, err)
+	pl, err := co.Plans.Make(ctx, re.Team.Name, queryArgument(re, "file"), re.HTTP.PostBody())
+	return planAnswer(re, pl, err)
 }
 
 func (co *Control) servePlan(re operator.Request) (any, error) {
-	ctx, cancel := timeout()
+	ctx, cancel := requestContext()
 	defer cancel()
-	pl, err := co.Plans.Get(ctx, argument(re, "id"))
-	return answer(re, pl, err)
+	pl, err := co.Plans.Get(ctx, queryArgument(re, "id"))
+	return planAnswer(re, pl, err)
 }
 
 func (co *Control) confirmPlan(re operator.Request) (any, error) {
-	ctx, cancel := timeout()
+	ctx, cancel := requestContext()
 	defer cancel()
-	pl, err := co.Plans.Confirm(ctx, argument(re, "id"), re.Team.Name)
-	return answer(re, pl, err)
+	pl, err := co.Plans.Confirm(ctx, queryArgument(re, "id"), re.Team.Name)
+	return planAnswer(re, pl, err)
 }
 
 func (co *Control) cancelPlan(re operator.Request) (any, error) {
-	ctx, cancel := timeout()
+	ctx, cancel := requestContext()
 	defer cancel()
-	pl, err := co.Plans.Cancel(ctx, argument(re, "id"))
-	return answer(re, pl, err)
+	pl, err := co.Plans.Cancel(ctx, queryArgument(re, "id"))
+	return planAnswer(re, pl, err)
 }
 
-func answer(re operator.Request, pl plan.Plan, err error) (any, error) {
+func planAnswer(re operator.Request, pl plan.Plan, err error) (any, error) {
 	var er *plan.Error
 	switch {
 	case err == nil:
@@ -119,12 +123,13 @@
 }
 
 func (co *Control) serveFleet(operator.Request) (any, error) {
-	ctx, cancel := timeout()
+	ctx, cancel := requestContext()
 	defer cancel()
 	return co.Status(ctx)
 }
 
-// Status returns where the fleet stands as this instance sees it.
+// Status returns the status of the fleet as seen by this instance. It fails if
+// this instance has no configuration yet.
 func (co *Control) Status(ctx context.Context) (FleetStatus, error) {
 	answers := co.Reports(ctx)
 	bu := co.State.Bundle()
@@ -133,7 +138,7 @@
 	}
 	cf := bu.Configuration()
 	status := FleetStatus{
-		Instance: co.Self.Name, Zone: co.Self.Zone, CutOff: cutOff(answers), InForce: plan.CountInForce(highest(answers), answers), Platform: co.platformNote(),
+		Instance: co.Self.Name, Zone: co.Self.Zone, CutOff: isolatedZones(answers), InForce: plan.CountInForce(highestVersion(answers), answers), Platform: co.platformStatus(),
 		Zones: cf.Zones(), Capacity: plan.CapacityOf(cf), Running: []plan.Plan{},
 	}
 	for _, an := range answers {
@@ -152,7 +157,7 @@
 	return status, nil
 }
 
-func highest(answers []plan.Answer) int64 {
+func highestVersion(answers []plan.Answer) int64 {
 	var version int64
 	for _, an := range answers {
 		version = max(version, an.Report.Standing.Version)
@@ -160,25 +165,26 @@
 	return version
 }
 
-// cutOff returns the zones that have instances of which none answers.
-func cutOff(answers []plan.Answer) []string {
-	var silent, heard []string
+// isolatedZones returns the zones of which no instance answers, sorted by name.
+func isolatedZones(answers []plan.Answer) []string {
+	var unreachable, reachable []string
 	for _, an := range answers {
 		if an.Err == nil {
-			heard = append(heard, an.Member.Zone)
+			reachable = append(reachable, an.Member.Zone)
 		} else {
-			silent = append(silent, an.Member.Zone)
+			unreachable = append(unreachable, an.Member.Zone)
 		}
 	}
-	silent = slices.DeleteFunc(silent, func(zone string) bool { return slices.Contains(heard, zone) })
-	slices.Sort(silent)
-	return slices.Compact(silent)
+	unreachable = slices.DeleteFunc(unreachable, func(zone string) bool { return slices.Contains(reachable, zone) })
+	slices.Sort(unreachable)
+	return slices.Compact(unreachable)
 }
 
-// platformSilence is after how long without an answer status says so.
-const platformSilence = 10 * time.Second
+// platformSilenceThreshold is the time without an answer from the platform after
+// which the status reports it.
+const platformSilenceThreshold = 10 * time.Second
 
-func (co *Control) platformNote() string {
+func (co *Control) platformStatus() string {
 	st := co.State.Standing()
 	silence := co.Clock.Since(st.PlatformAt)
 	switch {
@@ -186,7 +192,7 @@
 		return "not watched by this instance"
 	case st.PlatformAt.IsZero():
 		return "has not answered this instance yet"
-	case co.elected() && silence > platformSilence:
+	case co.elected() && silence > platformSilenceThreshold:
 		return "has not answered this instance for " + silence.Truncate(time.Second).String()
 	case st.PlatformVersion < st.Version:
 		return "shows an older configuration than that in force"
@@ -210,39 +216,39 @@
 	return me
 }
 
-// serveObjects answers with the objects of a kind as a list, or with those of
-// one name.
+// serveObjects returns all objects of a kind, or the one with the requested name
+// as a list of one.
 func (co *Control) serveObjects(re operator.Request) (any, error) {
-	name, cf := argument(re, "name"), re.Configuration
-	switch ki := argument(re, "kind"); ki {
+	name, cf := queryArgument(re, "name"), re.Configuration
+	switch ki := queryArgument(re, "kind"); ki {
 	case "half":
-		return pick(cf.Halves(), name, func(it kind.Half) string { return it.Name })
+		return filterByName(cf.Halves(), name, func(it kind.Half) string { return it.Name })
 	case "zone":
-		return pick(cf.Zones(), name, func(it kind.Zone) string { return it.Name })
+		return filterByName(cf.Zones(), name, func(it kind.Zone) string { return it.Name })
 	case "team":
-		return pick(cf.Teams(), name, func(it kind.Team) string { return it.Name })
+		return filterByName(cf.Teams(), name, func(it kind.Team) string { return it.Name })
 	case "service":
-		return pick(cf.Services(), name, func(it kind.Service) string { return it.Name })
+		return filterByName(cf.Services(), name, func(it kind.Service) string { return it.Name })
 	case "endpoint":
-		return pick(cf.Endpoints(), name, func(it kind.Endpoint) string { return it.Name })
+		return filterByName(cf.Endpoints(), name, func(it kind.Endpoint) string { return it.Name })
 	case "plan":
-		return co.objectPlans(name)
+		return co.listPlans(name)
 	default:
 		return nil, refusal.New(refusal.BadRequest, "kind: allowed are half, zone, team, service, endpoint and plan")
 	}
 }
 
-func (co *Control) objectPlans(name string) (any, error) {
-	ctx, cancel := timeout()
+func (co *Control) listPlans(name string) (any, error) {
+	ctx, cancel := requestContext()
 	defer cancel()
 	list, err := co.Plans.List(ctx)
 	if err != nil {
 		return nil, refusal.Wrap(refusal.NoConfiguration, "the platform does not answer", err)
 	}
-	return pick(list, name, func(it plan.Plan) string { return it.ID })
+	return filterByName(list, name, func(it plan.Plan) string { return it.ID })
 }
 
-func pick[T any](list []T, name string, nameOf func(T) string) (any, error) {
+func filterByName[T any](list []T, name string, nameOf func(T) string) (any, error) {
 	if name == "" {
 		return list, nil
 	}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -15,26 +15,27 @@
 // ServiceName is the name under which Service is registered with a peer.Server.
 const ServiceName = "Control"
 
-// reportTimeout bounds a call for a report.
-const reportTimeout = time.Second
+// callTimeout is the timeout of a call to another instance.
+const callTimeout = time.Second
 
-// Service answers the calls of other instances.
+// Service is the RPC service for other instances.
 type Service struct {
 	Control *Control
 }
 
-// Empty is the arguments of a call that needs none.
+// Empty is the argument of a call without arguments.
 type Empty struct{}
 
-// StopArgs names the instance that is to stop.
+// StopArgs identifies the instance to stop.
 type StopArgs struct {
 	Name string
-	// Started tells it from another instance of the same name; zero means any.
+	// Started is the start time in Unix milliseconds, which tells the instance
+	// from another one of the same name. Zero matches any start time.
 	Started int64
 }
 
-// Report returns what this instance says of itself. The version is read before
-// the counts: a count of zero then holds for that version.
+// Report returns the status of this instance. It reads the version before the
+// counts, so that a count of zero holds for that version.
 func (se *Service) Report(_ Empty, re *plan.Report) error {
 	*re = se.Control.report()
 	return nil
@@ -46,14 +47,14 @@
 	return re
 }
 
-// errOther says that a stop was meant for another instance.
-var errOther = errors.New("another instance has this address")
+// errWrongInstance says that a call of Stop was meant for another instance.
+var errWrongInstance = errors.New("another instance has this address")
 
-// Stop begins the orderly stop of this instance. It can be repeated.
+// Stop starts the graceful shutdown of this instance. It is idempotent.
 func (se *Service) Stop(args StopArgs, ok *bool) error {
 	self := se.Control.Self
 	if args.Name != self.Name || (args.Started != 0 && args.Started != self.Started.UnixMilli()) {
-		return errOther
+		return errWrongInstance
 	}
 	*ok = true
 	se.Control.Stop()
@@ -71,25 +72,25 @@
 	answers := make([]plan.Answer, len(present))
 	var wg sync.WaitGroup
 	for ix, me := range present {
-		wg.Go(func() { answers[ix] = co.ask(ctx, me) })
+		wg.Go(func() { answers[ix] = co.requestReport(ctx, me) })
 	}
 	wg.Wait()
 	return answers
 }
 
-func (co *Control) ask(ctx context.Context, me member.Member) plan.Answer {
+func (co *Control) requestReport(ctx context.Context, me member.Member) plan.Answer {
 	an := plan.Answer{Member: me}
 	if me.Name == co.Self.Name {
 		an.Report = co.report()
 		return an
 	}
-	ctx, cancel := clockwork.WithTimeout(ctx, co.Clock, reportTimeout)
+	ctx, cancel := clockwork.WithTimeout(ctx, co.Clock, callTimeout)
 	defer cancel()
 	an.Err = co.Caller.Call(ctx, me.Peer, ServiceName+".Report", Empty{}, &an.Report)
 	return an
 }
 
-// StopMember implements the stop of plan.Fleet for any member.
+// StopMember implements plan.Fleet. For this instance it calls Stop directly.
 func (co *Control) StopMember(ctx context.Context, me member.Member) error {
 	args := StopArgs{Name: me.Name}
 	if me.Started.UnixMilli() > 0 {
@@ -99,7 +100,7 @@
 		co.Stop()
 		return nil
 	}
-	ctx, cancel := clockwork.WithTimeout(ctx, co.Clock, reportTimeout)
+	ctx, cancel := clockwork.WithTimeout(ctx, co.Clock, callTimeout)
 	defer cancel()
 	var ok bool
 	return co.Caller.Call(ctx, me.Peer, ServiceName+".Stop", args, &ok)
