--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,7 @@
-// Package controller runs the loops that keep state: configuration, members,
-// leases, moves. A controller owns its state and publishes it in a
-// snapshot.Holder; requests only read.
+// Package controller runs the background loops of a process, such as those that
+// maintain its configuration, members and leases. A controller is the only
+// writer of its state and publishes snapshots of it in a snapshot.Holder, which
+// requests only read.
 //
 // # Usage
 //
@@ -16,19 +17,21 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Controller is one loop. Run returns nil or the context's error when ctx
-// ends; any other error stops the process.
+// Controller is one background loop. Run returns nil or the context's error when
+// ctx ends; any other error stops the process. Name identifies the controller in
+// that error.
 type Controller interface {
 	Name() string
 	Run(ctx context.Context) error
 }
 
-// Group runs controllers side by side.
+// Group runs controllers concurrently.
 type Group struct {
 	Controllers []Controller
 }
 
-// Run runs all controllers until ctx ends or one of them fails.
+// Run runs all controllers until ctx ends or one of them fails. If one fails, Run
+// stops the others and returns its error. Cancellation is not an error.
 func (gr *Group) Run(ctx context.Context) error {
 	eg, ctx := errgroup.WithContext(ctx)
 	for _, co := range gr.Controllers {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,12 +1,13 @@
-// Package operator is the listener towards operators.
+// Package operator serves the HTTP API for operators, the health checks and the
+// metrics.
 //
 // # Usage
 //
 //	se := &operator.Server{Listener: ln, Configuration: &holder, Ready: ready}
 //	err := se.Run(ctx) // a controller.Controller
 //
-// Every path but the health checks and the metrics needs an operator's bearer
-// token.
+// All paths except the health checks and the metrics require the bearer token of
+// an operator.
 package operator
 
 import (
@@ -23,35 +24,39 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// Server is the listener towards operators. Set the fields before Run.
+// Server serves the operator API. Set the fields before Run.
 type Server struct {
 	Listener      net.Listener
 	Configuration *snapshot.Holder[kind.Configuration]
-	// Ready tells whether the instance takes new work.
+	// Ready reports whether the instance accepts new work. It decides the answer
+	// to GET /readyz.
 	Ready func() bool
 	// Metrics serves GET /metrics.
 	Metrics fasthttp.RequestHandler
-	// Instance and Zone name this instance in its status.
+	// Instance and Zone are the name and the zone of this instance, for GET
+	// /status.
 	Instance string
 	Zone     string
-	// Routes are further paths, each "METHOD /path".
+	// Routes are the further routes by method and path, such as "GET /fleet".
 	Routes map[string]Route
 
 	server fasthttp.Server
 }
 
-// Request is an authenticated request of an operator.
+// Request is an authenticated request of an operator. Team is the team of the
+// bearer token, and Configuration is the one in force when the request arrived.
 type Request struct {
 	HTTP          *fasthttp.RequestCtx
 	Team          kind.Team
 	Configuration *kind.Configuration
 }
 
-// Route is one path of the operator API.
+// Route is one route of the operator API.
 type Route struct {
-	// Role is what the operator's token must allow.
+	// Role is the role that the operator's team must have.
 	Role kind.Role
-	// Serve returns the value that is sent as JSON, or a *refusal.Error.
+	// Serve returns the value to send as JSON, or a *refusal.Error to send as a
+	// problem document.
 	Serve func(re Request) (any, error)
 }
 
@@ -113,12 +118,12 @@
 	return ro.Serve(Request{HTTP: ctx, Team: te, Configuration: cf})
 }
 
-// Status is what an instance says of itself.
+// Status is the answer to GET /status.
 type Status struct {
 	Instance string `json:"instance"`
 	Zone     string `json:"zone"`
 	Ready    bool   `json:"ready"`
-	// Version is the configuration in force here.
+	// Version is the version of the configuration in force on this instance.
 	Version int64 `json:"version"`
 }
 
