--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -20,8 +20,8 @@
 	heartbeat = time.Second
 	// minSendInterval is the minimum time between two messages of an instance.
 	minSendInterval = 10 * time.Millisecond
-	// remoteIntervalPerInstance is what each instance in another zone adds to the
-	// minimum time between two messages to other zones.
+	// remoteIntervalPerInstance is what each instance in another zone adds to
+	// remoteSendInterval.
 	remoteIntervalPerInstance = 4 * time.Millisecond
 	// senderExpiry is the time without messages after which the loads of an
 	// instance expire.
@@ -89,6 +89,8 @@
 		}
 		sameZone, otherZones := ex.Members.recipients(ex.Instance, ex.Zone)
 		moves, unsent := ex.Turns.announced()
+		// A message with changed announcements goes to other zones at once. Other
+		// messages go there at most once per remoteSendInterval.
 		if now := ex.Clock.Now(); unsent || now.Sub(lastRemoteSend) >= remoteSendInterval(len(otherZones)) {
 			lastRemoteSend = now
 			sameZone = append(sameZone, otherZones...)
@@ -109,8 +111,9 @@
 }
 
 // remoteSendInterval returns the minimum time between two messages to other
-// zones. It grows with the number of instances there, up to heartbeat, which
-// bounds the send rate of one instance.
+// zones, unless announcements of moves have changed. It grows with the number of
+// instances there, up to heartbeat, so that the send rate of one instance stays
+// bounded.
 func remoteSendInterval(instances int) time.Duration {
 	return min(time.Duration(instances)*remoteIntervalPerInstance, heartbeat)
 }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -41,8 +41,8 @@
 			rt.Fatal(err)
 		}
 		NewWithT(rt).Expect(got).To(Equal(me))
-		cut := encode(me)
-		if _, err := decode(cut[:len(cut)-1]); err == nil {
+		data := encode(me)
+		if _, err := decode(data[:len(data)-1]); err == nil {
 			rt.Fatal("decode accepted a truncated message")
 		}
 	})
--- a/internal/loadshare/member.go
+++ b/internal/loadshare/member.go
@@ -6,7 +6,7 @@
 	"filbertstall.example/filbertstall/internal/snapshot"
 )
 
-// Member is an instance, as registered by itself.
+// Member is the entry under which an instance has registered itself.
 type Member struct {
 	Name string
 	Zone string
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -99,8 +99,8 @@
 	return me, nil
 }
 
-// reader parses the fields of a datagram. After a number or string that is
-// truncated, malformed is set and all further fields are empty.
+// reader parses the fields of a datagram. After a number or string that cannot
+// be parsed, malformed is set and all further fields are empty.
 type reader struct {
 	data      []byte
 	malformed bool
--- a/internal/loadshare/turn.go
+++ b/internal/loadshare/turn.go
@@ -7,11 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Turns orders the moves by which several instances migrate runs off the same
-// engine, so that their copies do not queue on its link. Each engine has its
-// own order of the instances, and each instance announces how many runs it has
-// still to move. It implements migration.Turns. Set the exported fields before
-// use. It is safe for concurrent use.
+// Turns orders the moves by which several instances migrate runs (generations
+// in flight) off the same engine, so that their KV-cache copies do not queue on
+// its network link. Each engine has its own order of the instances, and each
+// instance announces how many runs it has still to move. It implements
+// migration.Turns. Set the exported fields before use. It is safe for concurrent
+// use.
 type Turns struct {
 	Instance string
 	// Changes receives a value when the announcements of this instance change. The
--- a/internal/placement/account.go
+++ b/internal/placement/account.go
@@ -7,7 +7,9 @@
 
 // The outcomes.
 const (
-	// Done means that a complete response arrived or that the caller disconnected.
+	// Done means that a complete response arrived, or that the attempt ended for a
+	// reason that does not count against the endpoint. For example, the caller
+	// disconnected, the deadline passed or the generation migrated.
 	Done Outcome = iota
 	// Failed means that the endpoint returned an error response.
 	Failed
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -68,14 +68,15 @@
 // The cost of an endpoint is the expected delay of a request there, in
 // milliseconds, plus penalties for risks on the same scale.
 const (
-	// prefillTokensPerMillisecond is the prefill throughput of an engine that also
-	// runs generations: each step prefills one chunk of 112 tokens and takes at
-	// least 7 ms.
+	// prefillTokensPerMillisecond is the rate at which an engine that also runs
+	// generations is assumed to prefill prompts. Such an engine prefills one chunk
+	// of 112 tokens in each step, and a step takes 7 ms or longer. At a rate of 7.0
+	// tokens per millisecond, a chunk takes 16 ms.
 	prefillTokensPerMillisecond = 7.0
 	// generationCost is the delay that each running generation adds to a new one.
 	generationCost = 12.0
-	// callCost is the cost of a plain service whose slots are all in use. It is
-	// scaled by the ratio of running calls to slots.
+	// callCost applies to an endpoint of a plain service whose slots are all in
+	// use. It is scaled by the ratio of running calls to slots.
 	callCost = 60.0
 	// zoneCost is the network round trip to another zone.
 	zoneCost = 6.0
@@ -85,15 +86,17 @@
 	// engine drains.
 	engineZoneCost = 30.0
 	outputZoneCost = 1.3
-	// copyZoneCost applies to a KV-cache copy to another zone, which takes twice
-	// as long as one within the zone.
+	// copyZoneCost applies to engines in another zone when a generation migrates:
+	// the KV-cache copy takes twice as long as one within the zone.
 	copyZoneCost = 500.0
 	// failureCost applies to an endpoint with a failure score of 1.
 	failureCost = 120.0
-	// exhaustedCost applies to an engine whose memory is exhausted, and once more
-	// if all its slots are in use.
+	// exhaustedCost applies to an engine whose memory does not suffice for the
+	// request, and grows with the memory that is missing. It also applies to an
+	// engine whose slots are all in use. If both hold, the costs add up.
 	exhaustedCost = 2000.0
-	// coldCost applies to an endpoint in cold start: its first second is slow.
+	// coldCost applies to an endpoint in cold start, which is slow in its first
+	// second.
 	coldCost = 60.0
 	// tieBreakCost is the largest per-instance offset, which spreads instances
 	// over endpoints of equal cost.
@@ -282,8 +285,8 @@
 	}
 }
 
-// RecordOutcome updates the failure score of an endpoint for an attempt that
-// has no ticket.
+// RecordOutcome updates the failure score and the back-off of an endpoint for an
+// attempt that has no ticket.
 func (bo *Board) RecordOutcome(id string, ou Outcome) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
--- a/internal/placement/board_test.go
+++ b/internal/placement/board_test.go
@@ -114,9 +114,9 @@
 	clock := clockwork.NewFakeClock()
 	bo := newBoard(clock)
 	list := endpoints("a")
-	for _, pause := range []time.Duration{initialBackoff, 2 * initialBackoff, maxBackoff, maxBackoff} {
+	for _, backoff := range []time.Duration{initialBackoff, 2 * initialBackoff, maxBackoff, maxBackoff} {
 		bo.Begin(list[0], Work{}).End(Unreachable)
-		clock.Advance(pause - time.Millisecond)
+		clock.Advance(backoff - time.Millisecond)
 		_, found := bo.Choose(list, Work{}, nil)
 		g.Expect(found).To(BeFalse())
 		clock.Advance(time.Millisecond)
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -7,7 +7,8 @@
 // Several instances send to the same engines, so they exchange their loads
 // (internal/loadshare), and SetRemoteLoads adds the loads of the others. Failed
 // connection attempts in another zone raise the cost of that whole zone for a
-// few seconds (zonepath.go). Standby copies are placed on engines with free
+// few seconds (zonepath.go). A standby copy, from which a generation resumes if
+// its engine crashes or becomes unreachable, is placed on an engine with free
 // memory (standby.go).
 //
 // # Usage
--- a/internal/placement/standby.go
+++ b/internal/placement/standby.go
@@ -24,10 +24,11 @@
 )
 
 // ChooseStandby returns the engine that should hold the standby copy of a
-// generation that runs on the engine with the ID primary. It returns false if
-// no engine has enough free memory. Engines in the instance's own zone are
-// preferred, so that the copy stays reachable when the zone of the primary is
-// partitioned.
+// generation that runs on the engine with the ID primary. It leaves out engines
+// in cold start or back-off. It returns false if no other engine has enough free
+// memory, or if the engines are too full on average. Engines in the instance's
+// own zone are preferred, so that the copy stays reachable when the zone of the
+// primary is partitioned.
 func (bo *Board) ChooseStandby(list []roster.Endpoint, wo Work, primary string) (roster.Endpoint, bool) {
 	now := bo.Clock.Now()
 	bo.mu.Lock()
--- a/internal/placement/standby_test.go
+++ b/internal/placement/standby_test.go
@@ -24,9 +24,9 @@
 		want    string
 	}{
 		{"engine with the most free memory", "e0", map[string]int{"e1": 9000, "e2": 4000}, "", "e2"},
-		{"own zone preferred to more free memory", "e0", map[string]int{"e1": 6000, "e2": 6000}, "", "e1 or e2"},
-		{"own zone also for a primary in another zone", "e3", map[string]int{"e0": 2000, "e1": 2500, "e2": 9000}, "", "e0"},
-		{"other zone if the own zone has no room", "e0", map[string]int{"e1": 20_000, "e2": 20_000}, "", "e3"},
+		{"instance's zone preferred to more free memory", "e0", map[string]int{"e1": 6000, "e2": 6000}, "", "e1 or e2"},
+		{"instance's zone also for a primary in another zone", "e3", map[string]int{"e0": 2000, "e1": 2500, "e2": 9000}, "", "e0"},
+		{"other zone if no engine in the instance's zone has room", "e0", map[string]int{"e1": 20_000, "e2": 20_000}, "", "e3"},
 		{"not on an engine in cold start", "e0", map[string]int{"e1": 9000}, "e2", "e1"},
 		{"none while the engines are half full on average", "e3", map[string]int{"e0": 34_000, "e1": 34_000}, "", ""},
 		{"none without an engine that has room", "e0", map[string]int{"e1": 20_000, "e2": 20_000, "e3": 20_000}, "", ""},
--- a/internal/placement/ticket.go
+++ b/internal/placement/ticket.go
@@ -38,7 +38,7 @@
 }
 
 // Started records that the prompt is prefilled. Further calls, and calls after
-// End, have no effect.
+// End, do not change the account.
 func (ti *Ticket) Started() {
 	ti.board.mu.Lock()
 	defer ti.board.mu.Unlock()
--- a/internal/placement/zonepath.go
+++ b/internal/placement/zonepath.go
@@ -5,7 +5,8 @@
 const (
 	// zonePathCost applies to all endpoints of another zone for each connection
 	// attempt that failed there recently, up to maxZonePathFailures. At that
-	// maximum even exhausted engines in the instance's zone are preferred.
+	// maximum it exceeds exhaustedCost, so that even exhausted engines in the
+	// instance's zone are usually preferred.
 	zonePathCost        = 700.0
 	maxZonePathFailures = 3.0
 	// zonePathHalfLife is short so that traffic returns within seconds after the
--- a/internal/placement/zonepath_test.go
+++ b/internal/placement/zonepath_test.go
@@ -10,8 +10,9 @@
 
 // During a network partition each attempt to another zone costs a caller its
 // full duration. After the first connection attempts to a zone have failed,
-// busy endpoints of the own zone are preferred to the remaining ones there.
-// Once the path has recovered, these are used again.
+// busy endpoints in the instance's zone are preferred to the remaining ones in
+// that zone. Once the failures have decayed or a request to that zone has
+// succeeded, its endpoints are used again.
 func TestZonesBehindACut(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
@@ -19,7 +20,7 @@
 	list := endpoints("a", "b", "b", "b", "b", "c")
 	work := Work{Engine: testEngine, Prompt: 3000, Output: 400}
 	for range 2 {
-		bo.Begin(list[0], work) // the own zone is busy
+		bo.Begin(list[0], work) // the instance's zone is busy
 	}
 	choose := func() string {
 		ch, found := bo.Choose(list, work, nil)
@@ -41,8 +42,8 @@
 	g.Expect(choose()).To(Equal("b"), "a response shows that the path to zone b works")
 }
 
-// A failed connection attempt within the own zone counts against that endpoint
-// only, not against the zone.
+// A failed connection attempt within the instance's zone counts against that
+// endpoint only, not against the zone.
 func TestHomeHasNoBorder(t *testing.T) {
 	g := NewWithT(t)
 	bo := newBoard(clockwork.NewFakeClock())
--- a/internal/retry/bucket.go
+++ b/internal/retry/bucket.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// deposit adds depositPerRequest.
+// deposit adds the tokens of one caller's request, up to maxTokens.
 func (bu *bucket) deposit() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -33,7 +33,8 @@
 }
 
 // Slow returns the latency above which a call counts as slow, the 95th
-// percentile of the samples. It returns false until enough calls are recorded.
+// percentile of the samples. It returns false until latencySamples calls are
+// recorded.
 func (la *Latency) Slow() (time.Duration, bool) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
@@ -67,8 +68,8 @@
 
 // Hedge runs a call. If the call is idempotent and slow, and the retry budget
 // allows it, a second attempt runs concurrently. Hedge returns the first
-// success, or the error of the last attempt to fail, and cancels the context of
-// the other attempt.
+// success, the error of the last attempt to fail, or the error of ctx if that
+// ends first. It cancels the context of the other attempt.
 func Hedge[T any](ctx context.Context, he Hedging, run func(ctx context.Context) (T, error)) (T, error) {
 	threshold, known := he.Latency.Slow()
 	if !he.Idempotent || !known {
--- a/internal/suspicion/doc.go
+++ b/internal/suspicion/doc.go
@@ -2,12 +2,13 @@
 // requests were running on endpoints that crashed, and shares these records
 // among all instances.
 //
-// A request is identified by its fingerprint. After one loss, the crash of an
-// endpoint that ran it, the request is a suspect and is retried apart from
-// other suspects. After two losses it is refused. A request that completes is
-// cleared of the losses known at that time. Losses and clearings only
-// accumulate, and merging them is idempotent and commutative, so instances may
-// learn of them in any order and more than once.
+// A request is identified by its fingerprint. A loss is the crash of an endpoint
+// that ran the request. After one loss the request is a suspect: it may be
+// retried, but not on the same endpoint as another suspect at the same time.
+// After two losses it is refused. A request that completes is cleared of the
+// losses known at that time. Losses and clearings only accumulate, and merging
+// them is idempotent and commutative, so instances may learn of them in any
+// order and more than once.
 //
 // # Usage
 //
--- a/internal/suspicion/registry.go
+++ b/internal/suspicion/registry.go
@@ -17,10 +17,11 @@
 	// refuseAfterLosses is the number of uncleared losses at which a request is
 	// refused.
 	refuseAfterLosses = 2
-	// retention is how long a record counts after its newest loss or clearing.
+	// retention is how long a record counts after a merge has last added a loss or
+	// a clearing to it.
 	retention = time.Hour
-	// maxFingerprints is the maximum number of records. The oldest is evicted
-	// first.
+	// maxFingerprints is the maximum number of records. The one that was added
+	// first is evicted first.
 	maxFingerprints = 4096
 	// shareTimeout bounds the wait for peers before a suspect is retried.
 	shareTimeout = 300 * time.Millisecond
@@ -36,7 +37,8 @@
 const (
 	// Clear means that the request may run on any endpoint.
 	Clear Verdict = iota
-	// Suspect means that the request runs apart from other suspects.
+	// Suspect means that the request may run, but not on the same endpoint as
+	// another suspect at the same time.
 	Suspect
 	// Refuse means that the request must not run again.
 	Refuse
@@ -49,7 +51,8 @@
 	Boot string
 }
 
-// Case is the record of one fingerprint, as peers exchange it.
+// Case is the record of one fingerprint, or an addition to it, as peers exchange
+// it.
 type Case struct {
 	Fingerprint uint64
 	// Losses are the losses that the request may have caused.
@@ -68,7 +71,7 @@
 
 	mu      sync.Mutex
 	records map[uint64]*record
-	// order has the fingerprints of records, oldest first.
+	// order has the fingerprints of records in the order in which they were added.
 	order []uint64
 }
 
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -50,7 +50,7 @@
 // Allowed returns the current limit of concurrent requests.
 func (st State) Allowed() int { return st.allowed }
 
-// Warm reports whether the limit has reached the full one.
+// Warm reports whether the current limit has reached the full limit.
 func (st State) Warm() bool { return st.allowed >= st.full }
 
 // WithLimits returns a copy with other configured limits. A warm endpoint stays
@@ -65,16 +65,17 @@
 	return st
 }
 
-// WithWarm returns a copy that is warm. Another allocator has seen the full
-// limit proved under the boot ID, which the endpoint still has.
+// WithWarm returns a copy that is warm and has the boot ID. It is for an
+// endpoint that still has the boot ID under which another allocator has seen its
+// full limit proved.
 func (st State) WithWarm(boot string) State {
 	st.allowed, st.boot = st.full, boot
 	return st
 }
 
 // WithAllowed returns a copy with the limit that another allocator has seen
-// proved under the boot ID. It applies as soon as the endpoint is seen under
-// the same one, and never lowers the limit.
+// proved under the boot ID. That limit applies as soon as the endpoint is seen
+// under the same boot ID, and it never lowers the current limit.
 func (st State) WithAllowed(boot string, allowed int) State {
 	st.reported, st.reportedBoot = allowed, boot
 	return st.applyReported()
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -40,7 +40,7 @@
 		Expect(warmup.New(4, 8).WithProof(1).WithLimits(2, 16).Allowed()).To(Equal(16))
 	})
 
-	It("takes over the limit of another allocator only under the same boot ID", func() {
+	It("applies the limit reported by another allocator only under the same boot ID", func() {
 		st := warmup.New(4, 8).WithAllowed("a", 8)
 		Expect(st.Allowed()).To(Equal(4))
 		Expect(st.WithBoot("a").Allowed()).To(Equal(8))
