--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	// maxUnreachable limits the endpoints that are tried for one request
-	// without a connection being made.
+	// maxUnreachable limits the attempts after a failed connection: another
+	// endpoint is tried only if fewer than maxUnreachable endpoints have been
+	// tried for the request.
 	maxUnreachable = 4
-	// maxArrivals limits the endpoints that one request reaches, including
-	// those that reject it without running it.
+	// maxArrivals limits the attempts after a rejection: another endpoint is
+	// tried only if fewer than maxArrivals attempts may have reached an
+	// endpoint, including those that were rejected without running.
 	maxArrivals = 3
-	// maxIdleRepeatable is the longest idle time of a reused connection for
-	// idempotent requests, and maxIdleOnce for all others. The endpoint may
-	// close an idle connection just as a request is sent. Such a request is
-	// lost, and only an idempotent one can be sent again.
-	maxIdleRepeatable = 8 * time.Second
-	maxIdleOnce       = 1500 * time.Millisecond
+	// maxIdleIdempotent is the longest idle time of a reused connection for
+	// idempotent requests, and maxIdleNonIdempotent for all others. The
+	// endpoint may close an idle connection just as a request is sent. Such a
+	// request is lost, and only an idempotent one can be sent again.
+	maxIdleIdempotent    = 8 * time.Second
+	maxIdleNonIdempotent = 1500 * time.Millisecond
 	// minAttemptTime is the time that must remain until the deadline for
 	// another attempt to start.
 	minAttemptTime = 5 * time.Millisecond
@@ -61,17 +63,17 @@
 	refusal *refusal.Error
 }
 
-// attempt sends a task to an endpoint and decides by the status and header of
-// the answer what follows. If the step is deliver, the result holds an open
+// attempt sends a task to an endpoint and chooses the next step from the status
+// and header of the answer. If the step is deliver, the result holds an open
 // answer and its ticket.
-func (di *Dispatcher) attempt(ctx context.Context, ta *task, pl destination) result {
-	en := pl.endpoint
+func (di *Dispatcher) attempt(ctx context.Context, ta *task, de destination) result {
+	en := de.endpoint
 	ta.markTried(en)
-	at := Attempt{Endpoint: en, Left: ta.remaining(di.Clock.Now()), Team: ta.team, PassCredential: ta.passCredential, Standby: pl.standby.address(), MaxIdle: maxIdleOnce}
+	at := Attempt{Endpoint: en, Left: ta.remaining(di.Clock.Now()), Team: ta.team, PassCredential: ta.passCredential, Standby: de.standby.address(), MaxIdle: maxIdleNonIdempotent}
 	if ta.route.Repeat == routing.Idempotent {
-		at.MaxIdle = maxIdleRepeatable
+		at.MaxIdle = maxIdleIdempotent
 	}
-	ti := di.Board.Begin(en, pl.work)
+	ti := di.Board.Begin(en, de.work)
 	an, err := di.Sender.Do(ctx, di.Codec.Call(ta.Request, at))
 	if err != nil {
 		return di.handleSendError(ctx, ta, en, ti, err)
@@ -125,7 +127,8 @@
 }
 
 // handleNotRun handles an answer by which the endpoint states that it did not
-// run the request.
+// run the request. If the address now belongs to another endpoint, the intended
+// one is marked as leaving.
 func (di *Dispatcher) handleNotRun(ta *task, en roster.Endpoint, ti *placement.Ticket, an *upstream.Answer, ve Verdict) result {
 	ti.End(placement.Refused)
 	_, _ = an.ReadAll(maxDiscardedBytes)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -167,6 +167,7 @@
 	g.Expect(ha.runs()).To(Equal(1))
 }
 
+// A key that a newer configuration no longer contains is refused at once.
 func TestTakenKeyIsRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	ha := newHarness(t, succeeds)
@@ -209,7 +210,7 @@
 		complete bool
 	}{
 		{"whole", events(1, 5, true), numbered(1, 5), true},
-		{"cut inside an event", events(1, 3, false), numbered(1, 3), false},
+		{"interrupted inside an event", events(1, 3, false), numbered(1, 3), false},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -104,8 +104,8 @@
 	return di.serveBuffered(ctx, ta)
 }
 
-// admit checks a request against the configuration: its route, body size, key,
-// service and suspicion of crashing endpoints.
+// admit checks the route, body size, key and service of a request against the
+// configuration, and whether the request is known to crash endpoints.
 func (di *Dispatcher) admit(re *Request) (*task, *refusal.Error) {
 	cf := di.State.Load()
 	age, proven := di.State.Age()
@@ -163,8 +163,8 @@
 	return refusal.New(refusal.StaleConfiguration, detail).WithRetryAfter(staleRetryAfter)
 }
 
-// maxRequestTime limits every request. It applies alone if neither the route
-// nor the caller sets a timeout.
+// maxRequestTime limits the time of every request, including those for which
+// neither the route nor the caller sets a timeout.
 const maxRequestTime = 10 * time.Minute
 
 func requestTimeout(timeout, budget time.Duration) time.Duration {
@@ -211,9 +211,9 @@
 	return ch.Endpoint, er.WithRetryAfter(busyRetryAfter)
 }
 
-// logPlacement logs the choice of an engine for a generation. Requests to plain
-// services are too numerous to log one by one, so only their failed attempts
-// are logged.
+// logPlacement logs the choice of an engine for a generation. Requests to
+// services without engines are too numerous to log one by one, so only their
+// failed attempts are logged.
 func (di *Dispatcher) logPlacement(ta *task, ch placement.Choice, ready int) {
 	if ta.service.Engine == nil {
 		return
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -211,7 +211,7 @@
 }
 
 // restart registers an endpoint with another start time. It gets requests at
-// once, since it is not in the back-off that follows a failed connection.
+// once, because only a failed connection starts a back-off.
 func (ha *harness) restart(en roster.Endpoint) {
 	ha.Roster.Apply([]feed.Change[roster.Endpoint]{{Object: feed.Object[roster.Endpoint]{Name: en.ID, Value: &en}}})
 }
--- a/internal/dispatch/meter.go
+++ b/internal/dispatch/meter.go
@@ -17,7 +17,8 @@
 var replyBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 13)
 
 // countReply counts one reply and records its latency. For a stream, this is
-// the time until its header arrives.
+// the time until its header arrives, which is taken as the time to its first
+// event.
 func (me *Meter) countReply(rp Reply, took time.Duration) {
 	if me == nil {
 		return
@@ -31,9 +32,9 @@
 }
 
 // countAttempt counts one attempt by its outcome.
-func (me *Meter) countAttempt(how string) {
+func (me *Meter) countAttempt(outcome string) {
 	if me == nil {
 		return
 	}
-	me.Scope.Tagged(map[string]string{"how": how}).Counter("attempts").Inc(1)
+	me.Scope.Tagged(map[string]string{"how": outcome}).Counter("attempts").Inc(1)
 }
--- a/internal/dispatch/output.go
+++ b/internal/dispatch/output.go
@@ -9,9 +9,9 @@
 	// initialOutputShare is the assumed ratio of an answer's length to its
 	// limit before any answer of the route has been observed.
 	initialOutputShare = 0.35
-	// meanMemoryShare is the ratio of the memory of a generation's output,
-	// averaged over its duration, to the memory at its end: the output grows
-	// from zero.
+	// meanMemoryShare is the memory that a generation's output occupies on
+	// average over its duration, as a share of the memory at its end. The
+	// output grows from zero.
 	meanMemoryShare = 0.5
 )
 
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -102,8 +102,8 @@
 	Verdict(an *upstream.Answer) Verdict
 }
 
-// Reply is the answer to a caller. Refusal is set, or Status and Headers with
-// either Body or Events.
+// Reply is the answer to a caller. Either Refusal is set, or Status and Headers
+// together with either Body or Events.
 type Reply struct {
 	// Refusal is set if the instance answers by itself instead of forwarding an
 	// endpoint's answer.
--- a/internal/dispatch/standby.go
+++ b/internal/dispatch/standby.go
@@ -6,8 +6,9 @@
 	"filbertstall.example/filbertstall/internal/roster"
 )
 
-// minStandbyTokens is the expected output from which a run gets a standby copy.
-// A shorter run most likely ends before its engine fails.
+// minStandbyTokens is the least value of placement.Work.Output, in tokens, for
+// which a run gets a standby copy. A shorter run most likely ends before its
+// engine fails or leaves.
 const minStandbyTokens = 64
 
 // standby is the engine that keeps an incrementally updated copy of a run. A
@@ -57,9 +58,9 @@
 }
 
 // takeOver lets an interrupted run continue on the engine of its standby copy.
-// It returns false if there is no copy, or if its engine has restarted or may
-// not get new requests because it is leaving or operators have evacuated its
-// zone. The copy cannot be used again.
+// It returns false if there is no copy, or if the engine of the copy has
+// restarted, has been removed, is leaving, or is in a zone that operators have
+// evacuated. The copy cannot be used again.
 func (se *session) takeOver() (migration.Moved, bool) {
 	sb := se.standby
 	se.standby = nil
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -36,10 +36,10 @@
 			cancel()
 			return di.refuse(ta.Request, er)
 		}
-		pl := destination{endpoint: en, work: wo, standby: di.reserveStandby(ta, en, wo)}
-		re := di.attempt(ctx, ta, pl)
+		de := destination{endpoint: en, work: wo, standby: di.reserveStandby(ta, en, wo)}
+		re := di.attempt(ctx, ta, de)
 		if re.step != deliver || re.answer.Status != http.StatusOK {
-			pl.standby.release()
+			de.standby.release()
 		}
 		if re.step == retry {
 			continue
@@ -56,7 +56,7 @@
 			}
 			return Reply{Status: re.answer.Status, Headers: re.answer.Headers, Body: re.body}
 		}
-		se := di.openSession(ctx, cancel, ta, pl, re)
+		se := di.openSession(ctx, cancel, ta, de, re)
 		return Reply{Status: re.answer.Status, Headers: re.answer.Headers, Events: se}
 	}
 }
@@ -82,24 +82,25 @@
 	endErr    error
 	// lastEventAt is when the last complete event was received.
 	lastEventAt time.Time
-	moves       int
+	// moves is the number of attempts to resume the stream.
+	moves int
 	// stallTimer is nil if the stream is not watched for stalls.
 	stallTimer clockwork.Timer
 }
 
 // openSession starts the session of a stream whose header has arrived.
-func (di *Dispatcher) openSession(ctx context.Context, cancel context.CancelFunc, ta *task, pl destination, re result) *session {
-	en := pl.endpoint
+func (di *Dispatcher) openSession(ctx context.Context, cancel context.CancelFunc, ta *task, de destination, re result) *session {
+	en := de.endpoint
 	re.ticket.Started()
 	di.Log.Info().Str("event", "first_event").Str("request", ta.ID).Str("endpoint", en.ID).Dur("took", di.Clock.Since(ta.Arrived)).Msg("dispatch: stream started")
-	se := &session{di: di, ta: ta, ctx: ctx, cancel: cancel, destination: pl, answer: re.answer, ticket: re.ticket}
+	se := &session{di: di, ta: ta, ctx: ctx, cancel: cancel, destination: de, answer: re.answer, ticket: re.ticket}
 	if ta.service.Engine != nil && ta.service.Engine.Migrates && di.Runs != nil {
 		se.run = &migration.Run{
 			ID: ta.ID, Service: ta.service.Name, Engine: ta.service.Engine,
-			Prompt: ta.Prompt.Tokens, MaxOutput: ta.Prompt.MaxOutput, Output: pl.work.Output,
+			Prompt: ta.Prompt.Tokens, MaxOutput: ta.Prompt.MaxOutput, Output: de.work.Output,
 		}
 		se.run.SetEndpoint(en)
-		se.run.SetStandby(pl.standby.id())
+		se.run.SetStandby(de.standby.id())
 		di.Runs.Add(se.run)
 		if now, known := di.Roster.View().Get(en.ID); !known || now.Leaving {
 			se.di.requestMoves(en)
@@ -153,8 +154,9 @@
 }
 
 // endsComplete reports whether io.EOF of the answer is the end of the stream.
-// An answer that ends with its connection counts as complete only if it ends
-// after a complete event and the run was not asked to stop for a move.
+// If the end of the answer is not marked by its framing, but only by the end of
+// the connection, the stream counts as complete only if it ends after a
+// complete event and the run was not asked to stop for a move.
 func (se *session) endsComplete() bool {
 	if se.answer.Framed {
 		return true
@@ -245,7 +247,7 @@
 	return mv, found
 }
 
-// resume continues the run on the target of its move.
+// resume continues the run on the target of its move or takeover.
 func (se *session) resume(mv migration.Moved) error {
 	di := se.di
 	se.standby.release()
--- a/internal/migration/doc.go
+++ b/internal/migration/doc.go
@@ -1,5 +1,5 @@
-// Package migration moves generations off leaving engines, so that their
-// streams continue on other engines as the same run.
+// Package migration moves generations off leaving engines, which are about to
+// shut down, so that their streams continue on other engines as the same run.
 //
 // A move copies the KV cache of a run to another engine while the run
 // continues, then copies what has been added since, stops the run with a final
--- a/internal/migration/evacuation.go
+++ b/internal/migration/evacuation.go
@@ -11,9 +11,8 @@
 // maxMoveAttempts limits the attempts to move one run off one engine.
 const maxMoveAttempts = 24
 
-// noRunAttempts is the number of additional attempts that count if the engine
-// does not know the run. The run has ended, or its first token has not been
-// generated yet.
+// noRunAttempts is added to the number of attempts if the engine does not know
+// the run, because the run has ended or has not generated its first token yet.
 const noRunAttempts = 6
 
 // longTurnWait is the shortest wait for a turn that is logged.
@@ -27,8 +26,8 @@
 	// full holds the IDs of engines that must not be chosen as a target: the
 	// source and engines without room for a copy.
 	full map[string]bool
-	// announced is set by the first wait in awaitTurn, which gives other
-	// instances time to receive the announcement.
+	// announced is set once awaitTurn has given other instances time to receive
+	// the first announcement.
 	announced bool
 }
 
--- a/internal/migration/move.go
+++ b/internal/migration/move.go
@@ -79,7 +79,7 @@
 
 // tryFinalCopy copies what has been added since the last copy. If the link
 // turns out to be idle or little time remains, it stops the run with a final
-// copy. It returns whether the move is over.
+// copy. It reports whether the move has ended, successfully or not.
 func (mo *Mover) tryFinalCopy(ctx context.Context, ev *evacuation, mv *move) bool {
 	en, notice := ev.source, ev.notice
 	_, took, err := mo.copyRun(ctx, en, mv, false)
@@ -118,10 +118,10 @@
 		Dur("took", took).Err(err).Msg("migration: copy failed")
 }
 
-// resumeAtSource keeps a run at its own engine after a final copy failed. The
-// parameter kept is the handle of the memory that the engine holds of a stopped
-// run. It is empty if the run was not stopped, in which case only the copy at
-// the target is freed.
+// resumeAtSource keeps a run at its own engine after a final copy failed. If
+// the run was stopped, kept is the handle of its memory, which the engine still
+// holds. If kept is empty, the run was not stopped, and only the copy at the
+// target is freed.
 func (mo *Mover) resumeAtSource(en roster.Endpoint, mv *move, kept string) {
 	if kept == "" {
 		mv.run.finishFinalCopy(nil)
@@ -145,7 +145,7 @@
 	return co, mo.Clock.Since(begun), err
 }
 
-// abandon ends a move without success and frees the copy at the target.
+// abandon ends an unsuccessful move and frees the copy at the target.
 func (mo *Mover) abandon(en roster.Endpoint, mv *move) {
 	mv.ticket.End(placement.Done)
 	go mo.freeCopy(mv.run, en, mv.handle)
--- a/internal/migration/mover.go
+++ b/internal/migration/mover.go
@@ -29,7 +29,8 @@
 	// error is ErrNoRoom if the target cannot take the copy, and ErrNoRun if
 	// the run has ended or has not started.
 	Copy(ctx context.Context, source roster.Endpoint, run, target string, final bool) (Copied, error)
-	// Free drops a copy that will not be used.
+	// Free asks source, the engine that made the copy, to drop a copy that will
+	// not be used.
 	Free(ctx context.Context, source roster.Endpoint, handle string) error
 }
 
@@ -51,10 +52,10 @@
 )
 
 const (
-	// evacuationTimeout is how long runs are moved off a leaving engine.
+	// evacuationTimeout limits the time for moving runs off a leaving engine.
 	evacuationTimeout = 4 * time.Second
-	// rescanInterval is the pause between two searches for runs that have
-	// started since.
+	// rescanInterval is the pause before searching again for movable runs, such
+	// as those that have started since.
 	rescanInterval = 40 * time.Millisecond
 	copyTimeout    = 2 * time.Second
 	// announceDelay is the time that an announcement takes to reach other
--- a/internal/migration/mover_test.go
+++ b/internal/migration/mover_test.go
@@ -220,7 +220,7 @@
 		co    Copied
 		moved bool
 	}{
-		{"the run goes on", Copied{}, false},
+		{"the run was not stopped", Copied{}, false},
 		{"the run was stopped", Copied{Handle: "kept"}, true},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
@@ -248,13 +248,14 @@
 	}
 }
 
+// A run that ends during its first copy is not stopped, and its copy is freed.
 func TestUnusedCopiesAreFreed(t *testing.T) {
 	g := NewWithT(t)
 	ha := newHarness(nil)
 	var ru *Run
 	ha.engines.answer = func(run, target string, final bool) (Copied, error) {
 		if final {
-			return Copied{}, errors.New("never asked")
+			return Copied{}, errors.New("unexpected final copy")
 		}
 		ru.end()
 		return copySucceeds(run, target, final)
@@ -269,7 +270,8 @@
 	g.Expect(ha.Board.Loads()).To(BeEmpty())
 }
 
-// If a run is moved after its caller has disconnected, its copy is freed.
+// If the caller disconnects before its stream has taken up a completed move,
+// the copy is freed.
 func TestMovedRunWithoutCaller(t *testing.T) {
 	g := NewWithT(t)
 	ha := newHarness(copySucceeds)
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -24,8 +24,9 @@
 }
 
 const (
-	// tokenTime is the least time that an engine takes for a token, so that no
-	// run counts as ending in time that would not.
+	// tokenTime is the time per remaining token that endsInTime assumes. If an
+	// engine takes longer for a token, a run may count as ending in time that
+	// does not, and is then not moved.
 	tokenTime = 10 * time.Millisecond
 	// noticePeriod is how long an engine is expected to continue after it has
 	// announced that it leaves.
@@ -33,8 +34,8 @@
 	// forcedStopTime is the time after the notice from which runs are stopped
 	// regardless of how long their final copy may be queued.
 	forcedStopTime = 1250 * time.Millisecond
-	// idleLinkCopyTime is the longest duration of a short copy that shows that
-	// no other copy is queued ahead of it on the link.
+	// idleLinkCopyTime is the duration up to which a short copy shows that no
+	// other copy was queued ahead of it on the link.
 	idleLinkCopyTime = 50 * time.Millisecond
 )
 
@@ -47,7 +48,8 @@
 // into another zone.
 const maxMoveTime = 450 * time.Millisecond
 
-// maxTurnWait limits the wait for a number of runs of other instances.
+// maxTurnWait returns the longest time to wait for other instances to move the
+// given number of runs.
 func maxTurnWait(runs int) time.Duration { return time.Duration(runs) * maxMoveTime }
 
 // movable returns the runs to move, ordered by the amount of data to copy. The
@@ -73,7 +75,8 @@
 }
 
 // shouldStop reports whether to stop a run after a short copy that took
-// copyTook.
+// copyTook. The run is stopped if the link is idle, so that the final copy is
+// not queued behind others, or if little time remains.
 func shouldStop(copyTook, sinceNotice time.Duration) bool {
 	return copyTook <= idleLinkCopyTime || sinceNotice >= forcedStopTime
 }
--- a/internal/migration/run.go
+++ b/internal/migration/run.go
@@ -20,8 +20,8 @@
 	Ticket *placement.Ticket
 }
 
-// Run is one stream that an engine generates. Set the exported fields before
-// Mover.Add.
+// Run is one generation, whose output is streamed to a caller. Set the exported
+// fields before Mover.Add.
 type Run struct {
 	ID      string
 	Service string
@@ -30,9 +30,9 @@
 	Prompt    int
 	MaxOutput int
 	// Output is the number of tokens of memory that placement plans for the
-	// answer, as at the start of the run. Planning for the longest possible
-	// answer would rarely leave a target in the same zone, and copies into
-	// other zones take twice as long.
+	// answer, as estimated at the start of the run. If it planned for the
+	// longest possible answer, there would rarely be a target in the same zone,
+	// and copies into other zones take twice as long.
 	Output int
 
 	mu       sync.Mutex
@@ -42,9 +42,9 @@
 	// standby is the ID of the engine that keeps a standby copy of the run. It
 	// is empty if there is none.
 	standby string
-	// stopping is set while a final copy is in progress, and closed when the
-	// copy has ended. It becomes nil when the copy has failed or Await has
-	// returned the move.
+	// stopping is set when a final copy starts, and closed when the copy has
+	// ended. It becomes nil if the copy failed without stopping the run, or
+	// when Await has returned the move.
 	stopping chan struct{}
 	moved    *Moved
 }
@@ -111,7 +111,7 @@
 	return mv, true
 }
 
-// Complete records a move that needed no copies, such as those of tests.
+// Complete records a move that is made without copies, as in tests.
 func (ru *Run) Complete(mv Moved) {
 	if ru.beginFinalCopy() {
 		ru.finishFinalCopy(&mv)
