--- a/internal/admission/account.go
+++ b/internal/admission/account.go
@@ -9,7 +9,8 @@
 	"filbertstall.example/filbertstall/internal/warmup"
 )
 
-// account is the state that the allocator keeps for one endpoint.
+// account is the state that the allocator keeps for one endpoint. Memory
+// values are sizes of its KV-cache in tokens.
 type account struct {
 	Candidate
 	warm          warmup.State
@@ -38,8 +39,8 @@
 	// bootID and preemptedTotal come from the last report of the endpoint.
 	bootID         string
 	preemptedTotal int64
-	// score orders the accounts of an index, and position is the place of the
-	// account in it.
+	// score orders the accounts of an index, and position is where the account
+	// is in the list of the index.
 	score    float64
 	index    *index
 	position int
@@ -109,9 +110,11 @@
 // ready reports whether the endpoint currently accepts any new request.
 func (ac *account) ready() bool { return ac.Eligible && !ac.paused && ac.hasFreeSlot(true) }
 
-// computeScore returns the score of the account, higher is better. While
-// memory is scarce, the score is the room that is left at the given risk.
-// Otherwise it prefers the endpoint with the shortest expected decode step.
+// computeScore returns the score of the account, higher is better. It is
+// negative infinity if the endpoint accepts no new request, and the share of
+// free slots if the endpoint does not decode. Otherwise it is the memory left
+// at the given risk while memory is scarce. If there is ample memory, it prefers
+// the endpoint with the shortest expected decode step.
 func (ac *account) computeScore(risk float64) float64 {
 	if !ac.ready() {
 		return math.Inf(-1)
--- a/internal/admission/allocator.go
+++ b/internal/admission/allocator.go
@@ -24,12 +24,13 @@
 	// QueueLimit is the maximum number of requests queued in one lane.
 	QueueLimit int
 	// QueueWait is the longest expected wait with which a request without a
-	// deadline is accepted.
+	// deadline is accepted. A request with a deadline is accepted with this
+	// wait, too, unless its deadline is earlier.
 	QueueWait time.Duration
-	// MaxWaitShare is the largest share of the time to its deadline that a
-	// request may be expected to wait in the queue. Under overload the newest
-	// requests are therefore refused, and older ones are served whatever their
-	// size.
+	// MaxWaitShare is the share of the time to its deadline that a request may
+	// be expected to wait in the queue, if that is longer than QueueWait. Under
+	// overload the newest requests are therefore refused, and older ones are
+	// served whatever their size.
 	MaxWaitShare float64
 	// Known returns the length of the answer in tokens if it is known in
 	// advance, and zero otherwise. It may be nil.
@@ -141,8 +142,8 @@
 	ac.index.fix(ac)
 }
 
-// Submit queues a request, or returns the reason if it is refused at once. It
-// does nothing for a request that is already queued or in flight.
+// Submit queues a request, or returns the reason if it is refused at once. A
+// request that is already queued or in flight is not queued again.
 func (al *Allocator) Submit(now time.Time, re Request) *refusal.Error {
 	al.prepare()
 	if _, found := al.running[re.ID]; found {
@@ -210,8 +211,8 @@
 }
 
 // Adopt records a request that is already in flight at the named endpoint,
-// either granted by an earlier allocator or resumed there. It counts even if
-// the endpoint is full.
+// either granted by an earlier allocator or resumed there. The request takes a
+// slot even if the endpoint is full.
 func (al *Allocator) Adopt(now time.Time, re Request, name string, tokens int64) {
 	al.prepare()
 	if _, found := al.running[re.ID]; found {
@@ -275,8 +276,9 @@
 	}
 }
 
-// recordTokens updates the length curve with the tokens produced since its
-// last call, and charges the team for tokens beyond the expected length.
+// recordTokens updates the length curve with the tokens produced since the
+// previous update, and charges the team for tokens beyond those that it was
+// already charged for.
 func (al *Allocator) recordTokens(se *sequence) {
 	se.curve.ObserveProgress(se.observed, se.tokens)
 	se.observed = se.tokens
--- a/internal/admission/backoff.go
+++ b/internal/admission/backoff.go
@@ -12,8 +12,9 @@
 	// maxBackOff is the upper limit of the back-off, which doubles with each
 	// further request that is not accepted.
 	maxBackOff = 4 * time.Second
-	// restartLosses losses within restartWindow are taken as a failure of the
-	// endpoint, and fewer as a failure of single connections.
+	// An endpoint that loses restartLosses connections within restartWindow is
+	// assumed to have failed itself. Fewer losses are taken as failures of
+	// single connections.
 	restartLosses = 2
 	restartWindow = 2 * time.Second
 )
--- a/internal/admission/choose.go
+++ b/internal/admission/choose.go
@@ -1,6 +1,6 @@
 package admission
 
-// shortRiskFactor is the part of the safety margin that applies to short
+// shortRiskFactor is the factor that the safety margin is multiplied by for short
 // requests.
 const shortRiskFactor = 0.5
 
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -53,25 +53,26 @@
 }
 
 // forecastAnswer returns the forecast for an answer of unknown length. prompt
-// and done are the tokens that it holds now, and limit is the maximum length
-// of the answer; zero means no limit.
+// is the length of the prompt, done that of the answer so far, and limit the
+// maximum length of the answer, or zero if there is no limit.
 func forecastAnswer(cu *length.Curve, prompt, done, limit float64) forecast {
 	var fo forecast
-	var share [horizonCount]float64
-	cu.SurvivalEach(done, horizons[:], share[:])
+	var survival [horizonCount]float64
+	cu.SurvivalEach(done, horizons[:], survival[:])
 	for ix, ho := range horizons {
 		if limit > 0 && done+ho >= limit && ix > 0 {
 			break
 		}
-		held := prompt + done + ho
-		fo.mean[ix] = share[ix] * held
-		fo.variance[ix] = share[ix] * (1 - share[ix]) * held * held
+		used := prompt + done + ho
+		fo.mean[ix] = survival[ix] * used
+		fo.variance[ix] = survival[ix] * (1 - survival[ix]) * used * used
 	}
 	return fo
 }
 
-// forecastKnown returns the forecast for an answer of known length. Each value
-// is the maximum that it holds since the previous horizon.
+// forecastKnown returns the forecast for an answer of known length total. Each
+// mean is the maximum of the memory used since the previous horizon, and the
+// variance is zero.
 func forecastKnown(prompt, done, total float64) forecast {
 	var fo forecast
 	before := 0.0
--- a/internal/admission/index.go
+++ b/internal/admission/index.go
@@ -71,8 +71,8 @@
 // maxInspected is the maximum number of accounts that one choice inspects.
 const maxInspected = 15
 
-// each calls visit for the first maxInspected accounts in heap order, without
-// those that accept no work, until visit returns false.
+// each calls visit for the first maxInspected accounts in heap order, skipping
+// those that accept no new request, until visit returns false.
 func (in *index) each(visit func(ac *account) bool) {
 	for _, ac := range in.list[:min(maxInspected, len(in.list))] {
 		if !math.IsInf(ac.score, -1) && !visit(ac) {
--- a/internal/admission/lane.go
+++ b/internal/admission/lane.go
@@ -44,7 +44,8 @@
 // expectedWait returns the time that a new request of the team is expected to
 // wait. It divides the requests ahead, under fair sharing, by the grant rate
 // of the lane. For a team with queued requests, it divides their number by the
-// grant rate of the team if that gives a longer time.
+// grant rate of the team if that gives a longer time. The result is zero while
+// the lane is not blocked.
 func (la *lane) expectedWait(now time.Time, re Request) time.Duration {
 	if !la.blocked {
 		return 0
--- a/internal/admission/latency.go
+++ b/internal/admission/latency.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// latencyTarget is the mean time between two tokens for which the number
-	// of sequences is limited. It is below the 41 ms at the 95th percentile
-	// that callers are promised.
+	// latencyTarget is the mean time between two tokens that the concurrency
+	// limit aims for. It is below the 41 ms at the 95th percentile that callers
+	// are promised.
 	latencyTarget = 39 * time.Millisecond
 	// latencyWindowTokens is the number of tokens over which tokenLatency is
 	// averaged.
--- a/internal/admission/sequence.go
+++ b/internal/admission/sequence.go
@@ -51,7 +51,8 @@
 // used returns the memory that the sequence uses now, in tokens.
 func (se *sequence) used() float64 { return float64(se.re.PromptTokens) + float64(se.tokens) }
 
-// setPriority records whether the engine preempts the sequence first.
+// setPriority records whether the sequence was granted preemptFirstPriority, so
+// that the endpoint has at most one long answer with it.
 func (se *sequence) setPriority(priority int) {
 	if priority == preemptFirstPriority {
 		se.preemptFirst = true
--- a/internal/admission/warmup_state.go
+++ b/internal/admission/warmup_state.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// WarmUpState tells how many requests an endpoint has been proved to run at
-// once since its start.
+// WarmUpState is how far the warm-up of an endpoint has progressed since its
+// process started.
 type WarmUpState struct {
 	Endpoint string `json:"endpoint"`
-	// BootID identifies the process for which this was proved.
+	// BootID identifies the process to which Allowed applies.
 	BootID string `json:"boot_id"`
-	// Allowed is the number of requests that the endpoint can run at once.
+	// Allowed is the number of requests that the endpoint may run at once.
 	Allowed int `json:"allowed"`
 }
 
--- a/internal/length/curve.go
+++ b/internal/length/curve.go
@@ -3,8 +3,9 @@
 import "math"
 
 const (
-	// parentWeight is the weight of the parent curve's estimate, in answers,
-	// when it is combined with the evidence of the curve itself.
+	// parentWeight is the weight, in answers, of the parent curve's estimate
+	// when it is combined with the evidence of the curve itself. A curve without
+	// a parent uses it for the prior hazard.
 	parentWeight = 8
 	// halfLifeAnswers is the number of answers after which the weight of old
 	// evidence has halved.
@@ -47,8 +48,8 @@
 	return cu
 }
 
-// ObserveProgress records that a running answer has grown from the length from
-// to the length to, in tokens.
+// ObserveProgress records that a running answer has grown; from and to are its
+// previous and its current length in tokens.
 func (cu *Curve) ObserveProgress(from, to int64) {
 	for each := cu; each != nil; each = each.parent {
 		each.addSurvived(float64(from), float64(to))
@@ -63,7 +64,7 @@
 	}
 }
 
-// ObserveEnd records that an answer was completed with a length of at tokens.
+// ObserveEnd records that an answer was completed; at is its length in tokens.
 func (cu *Curve) ObserveEnd(at int64) {
 	ix := bucketOf(float64(max(at-1, 0)))
 	for each := cu; each != nil; each = each.parent {
@@ -82,6 +83,8 @@
 // weightGrowth is the factor by which each answer outweighs the one before it.
 var weightGrowth = math.Exp2(1.0 / halfLifeAnswers)
 
+// maxWeight is the weight above which the counters are rescaled, so that they
+// do not grow without limit.
 const maxWeight = 1 << 20
 
 func (cu *Curve) rescale() {
@@ -136,8 +139,8 @@
 // Mean returns the estimated mean length in tokens.
 func (cu *Curve) Mean() float64 { return cu.mean }
 
-// Survival returns the probability that an answer that already has done tokens
-// grows by more than more further tokens.
+// Survival returns the probability that an answer is longer than done+more
+// tokens, given that it is longer than done tokens.
 func (cu *Curve) Survival(done, more float64) float64 {
 	return math.Exp(cu.logSurvivalAt(done+more) - cu.logSurvivalAt(done))
 }
--- a/internal/length/doc.go
+++ b/internal/length/doc.go
@@ -14,9 +14,9 @@
 //
 //	es := &length.Estimator{}
 //	cu := es.Curve(length.Key{Service: "filbert-pool", Team: "tatra", Class: "p9"})
-//	cu.ObserveProgress(0, 40)       // as tokens arrive
-//	cu.ObserveEnd(40)               // when the answer is complete
-//	share := cu.Survival(40, 100)   // P(length > 140 | length > 40)
+//	cu.ObserveProgress(0, 40)           // as tokens arrive
+//	cu.ObserveEnd(40)                   // when the answer is complete
+//	probability := cu.Survival(40, 100) // P(length > 140 | length > 40)
 //
 // An Estimator is not safe for concurrent use.
 package length
--- a/internal/length/estimator.go
+++ b/internal/length/estimator.go
@@ -18,7 +18,8 @@
 }
 
 // Curve returns the curve of the key and creates it if it does not exist. Once
-// maxCurves curves exist, it returns the nearest existing parent instead.
+// maxCurves curves exist, it creates only curves of whole services, and returns
+// the nearest existing parent for other new keys.
 func (es *Estimator) Curve(ke Key) *Curve {
 	if cu, found := es.curves[ke]; found {
 		return cu
