--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -78,8 +78,8 @@
 	Boot   boottime.Clock
 	// Wait is how long one call to Watch waits for changes.
 	Wait time.Duration
-	// Gap is the pause after a call that returned changes, so that the next call
-	// returns several changes at once. Zero means no pause.
+	// Gap is the pause after a call that returned changes. Changes that occur in
+	// the meantime come with one call. Zero means no pause.
 	Gap time.Duration
 	Log zerolog.Logger
 
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -8,7 +8,7 @@
 // may take the lease. The holder calls Held before each action, and so detects
 // that it was paused.
 //
-// Each change of holder increases the epoch. Orders to endpoints carry it as
+// Each change of holder increases the epoch. Commands to endpoints carry it as
 // their fencing token, in the header Fencing-Number.
 //
 // # Usage
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -15,7 +15,8 @@
 const (
 	// Term is how long a successful write grants the lease.
 	Term = 6 * time.Second
-	// Margin is subtracted from the term by the holder and added by contenders.
+	// Margin is subtracted from the term by the holder and added to it by
+	// contenders.
 	// It covers clocks that run at different rates and the time between a check
 	// of Held and the effect of the action.
 	Margin = 500 * time.Millisecond
@@ -36,14 +37,20 @@
 	// Address is this instance's peer address.
 	Address string
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// stored is the last observed or written record, version its version in the
+	// store. A contender measures the term from seenAt.
 	stored   Record
 	version  int64
 	seenAt   time.Time
 	observed bool
+	// maxEpoch is the highest epoch in any record so far.
 	maxEpoch int64
-	heldAt   time.Time
-	holding  bool
+	// heldAt is when the last successful write was sent, from which the holder
+	// measures the term.
+	heldAt  time.Time
+	holding bool
+	// released is set for good once Release was called.
 	released bool
 	// pending is a write, sent at pendingAt, that may or may not have taken
 	// effect.
--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -1,5 +1,6 @@
 // Package member maintains each instance's view of the other entry instances,
-// from the platform's list, which lags behind, and from its own probes.
+// from the platform's list, which is updated late, and from its own probes. An
+// entry instance is one process that accepts the requests of callers.
 //
 // Instances of one zone probe each other. Between zones, each instance probes
 // a few members of every other zone, chosen by rendezvous hashing. A probe
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -69,8 +69,8 @@
 }
 
 // dueInRound returns the zone peers to probe in this round. In a large zone
-// only every other peer is due, because a probe informs both sides; peers that
-// did not answer the last probe are always due.
+// about half of the peers are due, because a probe informs both sides. Peers
+// that did not answer the last probe are always due.
 func (ta *Table) dueInRound(peers []Member) []Member {
 	if len(peers) <= fullRoundPeers {
 		return peers
@@ -84,9 +84,10 @@
 	})
 }
 
-// remoteZoneTargets returns the first members of a zone in rendezvous order.
-// Suspected members are included and not counted, up to a total of twice
-// probesPerRemoteZone.
+// remoteZoneTargets returns the members of another zone to probe: the first
+// probesPerRemoteZone in rendezvous order. Suspected members are probed too but
+// do not count towards this number, so that some of the probed members answer.
+// The total is at most twice probesPerRemoteZone.
 func remoteZoneTargets(self string, all []Member) []Member {
 	var list []Member
 	responsive := 0
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -29,10 +29,12 @@
 	// member is suspected.
 	suspectAfter = 2
 	// goneAfter is how long a member that the platform no longer lists as live
-	// may go unseen before it counts as gone.
+	// may go unseen before it counts as gone. indirectState applies the same
+	// time to members that this instance does not probe, and to zones.
 	goneAfter = 10 * time.Second
-	// directContactWindow is the maximum age of a contact with a member of
-	// another zone for which this instance relies on its own probes.
+	// directContactWindow is how long, after the last contact with a member of
+	// another zone or its last unanswered probe, this instance derives the
+	// member's state from its own probes.
 	directContactWindow = 3 * ProbeInterval
 	// leaveTimeout is how long a member that announced its departure may go
 	// unseen before it counts as gone although the platform still lists it as
@@ -142,9 +144,10 @@
 // completed a round of probes.
 func (ta *Table) Settled() bool { return ta.settled.Load() }
 
-// First reports whether this instance is among the first places live members of
-// its zone, in the rendezvous order of the key. It uses the local view alone,
-// so two instances may both be first while their views differ.
+// First reports whether this instance is among the first live members of its
+// zone in the rendezvous order of the key. The argument places is the number of
+// members that qualify. First uses only the local view, so more instances than
+// places may qualify while their views differ.
 func (ta *Table) First(key string, places int) bool {
 	return ta.isAmongFirst(key, places, ta.View().In(ta.Self.Zone, Live))
 }
@@ -351,9 +354,9 @@
 	return lastSeen
 }
 
-// hasDirectContact reports whether this instance judges the member by its own
-// probes. Only the member itself reports its start time, so a zero one means
-// that there was no contact yet.
+// hasDirectContact reports whether this instance derives the member's state from
+// its own probes. Only the member itself reports its start time, so a zero start
+// time means that there was no contact yet.
 func (en *entry) hasDirectContact(now time.Time) bool {
 	unresponsive := en.missed >= suspectAfter && now.Sub(en.missedAt) < directContactWindow
 	recentlySeen := !en.Started.IsZero() && now.Sub(en.lastSeen) < directContactWindow
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -26,7 +26,7 @@
 	Gone State = "gone"
 )
 
-// Member is one entry instance.
+// Member is the identity and the last known state of one entry instance.
 type Member struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
@@ -41,7 +41,7 @@
 	Started time.Time `json:"started"`
 }
 
-// Present reports whether the member may still run.
+// Present reports whether the member may still be running.
 func (me Member) Present() bool { return me.State != Gone }
 
 // View is an immutable snapshot of the members.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -7,7 +7,7 @@
 // # Usage
 //
 //	se := &peer.Server{Listener: ln}
-//	err := se.Register("Admission", service)   // methods in net/rpc's shape
+//	err := se.Register("Admission", service)   // methods as net/rpc requires them
 //	go se.Run(ctx)
 //
 //	cl := &peer.Client{}
--- a/internal/peer/peerfake/net.go
+++ b/internal/peer/peerfake/net.go
@@ -110,7 +110,7 @@
 	address string
 }
 
-// errNoAnswer is the cause of calls that get no answer.
+// errNoAnswer is the cause in errors of the kinds peer.Unreachable and peer.Lost.
 var errNoAnswer = errors.New("fake: no answer")
 
 // Call implements peer.Caller.
@@ -201,8 +201,8 @@
 	return fn, fn.Type().In(0), nil
 }
 
-// send encodes a header and a value on the link, decodes the value into another
-// one, and counts both as one message.
+// send encodes a header and a value on the link, decodes the value into the
+// target of the pointer into, and counts both as one message.
 func (ne *Net) send(from, to string, header, value, into any) {
 	li := ne.link(from, to)
 	li.mu.Lock()
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -26,7 +26,7 @@
 	Epoch    int64
 	Sequence uint64
 	// Direct reports that the sender reads the store itself, Silent that the
-	// store has not answered the sender since the last failed call.
+	// store has not answered the sender since the sender's last failed call.
 	Direct bool
 	Silent bool
 	// Full reports that Endpoints holds all endpoints, not only the changed
@@ -68,8 +68,9 @@
 	zones             []string
 	version           int64
 	storeUnresponsive bool
-	// changed holds the IDs of changed endpoints in order; the last one has the
-	// number sequence. An empty ID stands for a change of anything else.
+	// changed holds the IDs of changed endpoints, oldest first. The last entry is
+	// the change with the number sequence. An empty ID means a change of anything
+	// other than endpoints.
 	changed []string
 	wake    chan struct{}
 	direct  bool
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -28,7 +28,7 @@
 		want  string
 	}{
 		{"the fastest link of the zone", []string{"slow", "fast", "other"}, "fast"},
-		{"not an instance that was not seen recently", []string{"slow", "other"}, "slow"},
+		{"the next one if the fastest was not seen recently", []string{"slow", "other"}, "slow"},
 		{"this instance if no other is alive", nil, "self"},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
@@ -206,7 +206,7 @@
 	reader.state.Put(routing.New(routing.Spec{Version: 3, Source: []byte("three")}))
 	sw := &Switch{
 		State: &no.state, Boot: no.boot, Log: &no.log, Caller: &caller{log: &reader.log}, Logger: zerolog.Nop(),
-		Fetch: func(context.Context) error { return errors.New("the store was asked") },
+		Fetch: func(context.Context) error { return errors.New("unexpected call to Fetch") },
 		Decode: func(source []byte) (*routing.Configuration, error) {
 			g.Expect(string(source)).To(Equal("three"))
 			return routing.New(routing.Spec{Version: 3}), nil
@@ -290,7 +290,7 @@
 	sw := &Switch{
 		Log: &no.log, Caller: ca, Self: "self", Zone: "a", Members: members, Alive: func(string) bool { return true },
 		Configuration: configuration, Others: nil, Roster: &no.roster, State: &no.state, Clock: clockwork.NewRealClock(), Boot: no.boot,
-		Logger: zerolog.Nop(), Decode: func([]byte) (*routing.Configuration, error) { return nil, errors.New("not read here") },
+		Logger: zerolog.Nop(), Decode: func([]byte) (*routing.Configuration, error) { return nil, errors.New("unexpected call to Decode") },
 		Fetch: func(context.Context) error {
 			no.state.Put(routing.New(routing.Spec{Version: 1}))
 			return nil
@@ -308,8 +308,8 @@
 	g.Expect(no.ask(Query{}).Direct).To(BeTrue())
 }
 
-// An instance that the store rejects follows the reader of another zone whose
-// calls the store still answers (incident inc-c707).
+// An instance that the store rejects follows the reader of another zone if the
+// store still answers that reader (incident inc-c707).
 func TestSwitchAsksOtherZonesWhenTheStoreTurnsItAway(t *testing.T) {
 	g := NewWithT(t)
 	reader, no := newNode(), newNode()
@@ -322,10 +322,10 @@
 	no.state.Confirm(no.boot.Now() - maxOwnConfirmationAge - time.Second)
 	members := &loadshare.Members{}
 	members.Set([]loadshare.Member{{Name: "self", Zone: "a"}, {Name: "reader", Zone: "b"}})
-	unanswered := &countingController{}
+	configuration := &countingController{}
 	sw := &Switch{
 		Log: &no.log, Caller: &caller{log: &reader.log}, Self: "self", Zone: "a", Members: members, Alive: func(string) bool { return true },
-		Configuration: unanswered, Roster: &no.roster, State: &no.state, Clock: clockwork.NewRealClock(), Boot: no.boot, Logger: zerolog.Nop(),
+		Configuration: configuration, Roster: &no.roster, State: &no.state, Clock: clockwork.NewRealClock(), Boot: no.boot, Logger: zerolog.Nop(),
 		Fetch: func(context.Context) error { return errors.New("rejected by the store") },
 		Decode: func(source []byte) (*routing.Configuration, error) {
 			g.Expect(string(source)).To(Equal("version 2"))
@@ -337,7 +337,7 @@
 	go func() { _ = sw.Run(ctx) }()
 	g.Eventually(func() int { return len(no.roster.View().Ready("s")) }, "8s").Should(Equal(1))
 	g.Eventually(func() time.Duration { age, _ := no.state.Age(); return age }, "5s").Should(BeNumerically("<", maxOwnConfirmationAge))
-	g.Expect(unanswered.count()).To(BeNumerically(">=", 1), "the store is tried first")
+	g.Expect(configuration.count()).To(BeNumerically(">=", 1), "the store is tried first")
 	g.Expect(no.state.Load().Version).To(Equal(int64(2)), "the reader's configuration is in force")
 }
 
@@ -350,9 +350,9 @@
 	up := no.ask(Query{})
 	g.Expect(up.Silent).To(BeFalse())
 	no.roster.Trouble(errors.New("down"))
-	unanswered := no.ask(Query{Epoch: up.Epoch, Sequence: up.Sequence, Wait: time.Hour})
-	g.Expect(unanswered.Silent).To(BeTrue())
-	g.Expect(unanswered.Endpoints).To(BeEmpty())
+	outage := no.ask(Query{Epoch: up.Epoch, Sequence: up.Sequence, Wait: time.Hour})
+	g.Expect(outage.Silent).To(BeTrue())
+	g.Expect(outage.Endpoints).To(BeEmpty())
 	no.roster.Contact(0)
-	g.Expect(no.ask(Query{Epoch: unanswered.Epoch, Sequence: unanswered.Sequence, Wait: time.Hour}).Silent).To(BeFalse())
+	g.Expect(no.ask(Query{Epoch: outage.Epoch, Sequence: outage.Sequence, Wait: time.Hour}).Silent).To(BeFalse())
 }
--- a/internal/relay/switch.go
+++ b/internal/relay/switch.go
@@ -34,11 +34,12 @@
 	// others alive.
 	startupPeriod = 6 * time.Second
 	// maxConfigurationAge and maxEndpointsAge are the largest ages in an update
-	// of a reader worth following. Beyond them the store itself is the better
-	// source.
+	// with which its sender is followed. Beyond them the store itself is the
+	// better source.
 	maxConfigurationAge = 2500 * time.Millisecond
 	// maxEndpointsAge is over twice the time that one call about endpoints
-	// waits, because without changes the last answer is up to one wait old.
+	// waits. Without changes, the call that the store answered last was sent up
+	// to two such waits ago.
 	maxEndpointsAge = 8 * time.Second
 	// maxOwnConfirmationAge is the age of the store's last confirmation beyond
 	// which an instance follows readers of other zones, and otherZonesTime is
@@ -73,8 +74,8 @@
 	Logger zerolog.Logger
 
 	started time.Time
-	// readerStoreUnresponsive is set while the followed reader gets no answers from
-	// the store.
+	// readerStoreUnresponsive is set while the followed reader gets no answers
+	// from the store.
 	readerStoreUnresponsive atomic.Bool
 }
 
@@ -150,8 +151,8 @@
 	return me, found && me.Name != sw.Self
 }
 
-// readDirectly follows the store for at least minTime and until there is a
-// reader. It returns earlier if the store is unavailable.
+// readDirectly follows the store for at least minTime and until another instance
+// is the reader of the zone. It returns earlier if the store is unavailable.
 func (sw *Switch) readDirectly(ctx context.Context, minTime time.Duration) {
 	sw.Log.SetDirect(true)
 	defer sw.Log.SetDirect(false)
@@ -221,9 +222,10 @@
 	errReaderChanged = errors.New("relay: another instance is now the reader of the zone")
 )
 
-// follow applies the updates of a reader until one fails. If own is set, me is
-// the reader of this zone, and follow ends when another instance becomes the
-// reader.
+// follow applies the updates of the reader me. It returns when a call fails, an
+// update shows that the reader is not worth following, or its configuration
+// cannot be fetched. If own is set, me is the reader of this zone, and follow
+// also returns when another instance becomes the reader.
 func (sw *Switch) follow(ctx context.Context, me loadshare.Member, own bool) error {
 	defer sw.readerStoreUnresponsive.Store(false)
 	sw.Logger.Info().Str("event", "reader_followed").Str("reader", me.Name).Msg("relay: following a reader")
@@ -314,8 +316,8 @@
 }
 
 // fetchConfiguration fetches the configuration from the reader, and from the
-// store only if that fails. With many instances, most of the store's load would
-// come from each of them reading each version.
+// store only if that fails. If each of many instances read each version from the
+// store, these reads would be most of the store's load.
 func (sw *Switch) fetchConfiguration(ctx context.Context, me loadshare.Member) error {
 	err := sw.fetchFromReader(ctx, me)
 	if err == nil {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -14,9 +14,11 @@
 	"filbertstall.example/filbertstall/internal/snapshot"
 )
 
-// Endpoint is one start of a backend process. It is immutable.
+// Endpoint is one backend process. A restarted process is another Endpoint. An
+// Endpoint is immutable.
 type Endpoint struct {
-	// ID usually differs for every start; see Started for when it does not.
+	// ID usually differs between processes. Started distinguishes processes with
+	// the same ID.
 	ID      string
 	Service string
 	Address string
@@ -212,7 +214,8 @@
 }
 
 // handleMissing removes an endpoint that has no entry in the store, or retains
-// it for the grace period if the store was unavailable shortly before.
+// it for the grace period if the store was unavailable shortly before. An
+// endpoint that is already leaving is not retained.
 func (ro *Roster) handleMissing(id string, now time.Time) []Endpoint {
 	en, known := ro.endpoints[id]
 	if !known {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// The store counts as silent from a failed call until its next answer, even if
-// that answer contains nothing new.
+// Silent reports true from a failed call until the store's next answer, even if
+// that answer contains no changes.
 func TestSilentStore(t *testing.T) {
 	g := NewWithT(t)
 	ro := &Roster{Clock: clockwork.NewFakeClock(), Log: zerolog.Nop()}
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Repeat is the retry class of a route: how often, and in which form, its
-// requests may run.
+// Repeat is the retry class of a route: whether its requests may run more than
+// once, and whether event streams answer them.
 type Repeat int
 
 // The retry classes of routes.
@@ -74,10 +74,10 @@
 	TokenBytes int
 	// LinkBits is the bandwidth for KV-cache copies in bits per second.
 	LinkBits float64
-	// Migrates reports whether runs can migrate between engines.
+	// Migrates reports whether running generations can migrate between engines.
 	Migrates bool
-	// Standbys reports whether engines keep standby copies of runs on other
-	// engines.
+	// Standbys reports whether engines keep standby copies of running generations
+	// on other engines.
 	Standbys bool
 	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,10 +1,10 @@
-// Package routing holds the configuration for callers: routes, services, teams
+// Package routing holds the operators' configuration of routes, services, teams
 // and their keys. It looks up the route of a request and the team of a key.
 //
 // A Configuration is immutable. A State publishes the newest one; its version
 // never decreases within a process. The State also tracks the time since the
 // store last confirmed that no newer version exists, because an instance that
-// is cut off from the store must not accept a revoked key for long.
+// cannot reach the store must not accept a revoked key for long.
 //
 // # Usage
 //
--- a/internal/routing/match.go
+++ b/internal/routing/match.go
@@ -60,8 +60,8 @@
 	return te, found
 }
 
-// NeedsKey reports whether requests of a route must carry a key: without any
-// team in the configuration, none do.
+// NeedsKey reports whether requests of a route must carry a key. No route needs
+// one if no team is configured.
 func (cf *Configuration) NeedsKey(ro Route) bool { return cf.hasTeams && !ro.Public }
 
 // HasTeams reports whether any team is configured.
