--- a/internal/gateway/bound.go
+++ b/internal/gateway/bound.go
@@ -29,7 +29,7 @@
 )
 
 // maxKeyAge returns the maximum age of the store's confirmation that a key is
-// valid.
+// valid. The margin takes at most half of KeyRevocationBound.
 func (se Settings) maxKeyAge() time.Duration {
 	if se.KeyRevocationBound == 0 {
 		return unlimitedAge
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -18,8 +18,8 @@
 	endpointsWait     = 3 * time.Second
 	evacuationsWait   = 4 * time.Second
 	membersWait       = 25 * time.Second
-	// membersBatchDelay batches the membership updates that follow the first
-	// list, because all instances start at about the same time.
+	// membersBatchDelay is the pause after each membership update, so that one
+	// call returns several updates. All instances start at about the same time.
 	membersBatchDelay = 2 * time.Second
 )
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -113,8 +113,9 @@
 	return gr.Run(running)
 }
 
-// Reload applies changed settings. Listeners, the name of the instance and its
-// zone keep their values until the next start.
+// Reload applies a changed address of the store, KeyRevocationBound and
+// ConfigurationBound. All other settings keep their values until the next start.
+// A call before Run has no effect.
 func (gw *Gateway) Reload(se Settings) {
 	old := gw.settings.Load()
 	if old == nil || *old == se {
@@ -137,13 +138,14 @@
 }
 
 // staleAfter is the age of the store's last confirmation above which engines are
-// asked for their state directly. In normal operation the age stays below 3 s:
-// the reader gets an answer from the store each second that confirms the second
-// before, and the other instances hear from the reader each second.
+// asked for their state directly. In normal operation the age stays below 3 s: the
+// instance that reads the store for the others (see package relay) gets an answer
+// each second that confirms the state of the second before, and sends the other
+// instances an update each second.
 const staleAfter = 3300 * time.Millisecond
 
-// engineStatesStale reports whether the store may have failed to deliver an
-// engine's notice that it leaves.
+// engineStatesStale reports whether this instance may have missed that an engine is
+// draining, because it gets no current data from the store.
 func (gw *Gateway) engineStatesStale() bool {
 	age, confirmed := gw.state.Age()
 	return confirmed && (age > staleAfter || gw.roster.Silent() || gw.relaySwitch.Silent())
@@ -172,7 +174,7 @@
 	gw.ingress.Prepare()
 	gw.ready = &readiness{state: &gw.state, roster: &gw.roster, maxAges: gw.maxAges}
 	controllers := []controller.Controller{
-		hangups, &gw.ingress, &janitor{gw: gw},
+		hangups, &gw.ingress, &expirer{gw: gw},
 		&healthcheck.Checker{Engines: engines, Runs: mover.Endpoints, Stale: gw.engineStatesStale, Leave: gw.roster.Leave, Clock: gw.Clock, Log: gw.Log},
 		&auxiliaryServer{name: "readiness", listener: li.readiness, handler: gw.serveReady},
 	}
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -39,14 +39,14 @@
 }
 
 // Name implements controller.Controller.
-func (ps *auxiliaryServer) Name() string { return ps.name }
+func (as *auxiliaryServer) Name() string { return as.name }
 
 // Run implements controller.Controller.
-func (ps *auxiliaryServer) Run(ctx context.Context) error {
-	se := fasthttp.Server{Handler: ps.handler, NoDefaultServerHeader: true, Logger: steady.QuietLogger{}}
-	stop := context.AfterFunc(ctx, func() { _ = ps.listener.Close() })
+func (as *auxiliaryServer) Run(ctx context.Context) error {
+	se := fasthttp.Server{Handler: as.handler, NoDefaultServerHeader: true, Logger: steady.QuietLogger{}}
+	stop := context.AfterFunc(ctx, func() { _ = as.listener.Close() })
 	defer stop()
-	err := se.Serve(ps.listener)
+	err := se.Serve(as.listener)
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -61,16 +61,16 @@
 	ticksPerPrune = 10
 )
 
-// janitor removes expired state: roster entries, idle connections and the
-// accounts of endpoints that no longer exist.
-type janitor struct{ gw *Gateway }
+// expirer is the controller that removes expired state: roster entries, idle
+// connections and the accounts of endpoints that no longer exist.
+type expirer struct{ gw *Gateway }
 
 // Name implements controller.Controller.
-func (*janitor) Name() string { return "janitor" }
+func (*expirer) Name() string { return "janitor" }
 
 // Run implements controller.Controller.
-func (ja *janitor) Run(ctx context.Context) error {
-	ti := ja.gw.Clock.NewTicker(expiryInterval)
+func (ex *expirer) Run(ctx context.Context) error {
+	ti := ex.gw.Clock.NewTicker(expiryInterval)
 	defer ti.Stop()
 	for tick := 1; ; tick++ {
 		select {
@@ -78,11 +78,11 @@
 			return nil
 		case <-ti.Chan():
 		}
-		ja.gw.roster.Tick()
+		ex.gw.roster.Tick()
 		if tick%ticksPerPrune == 0 {
-			ja.gw.pool.Prune()
-			vi := ja.gw.roster.View()
-			ja.gw.board.Forget(func(id string) bool { _, known := vi.Get(id); return known })
+			ex.gw.pool.Prune()
+			vi := ex.gw.roster.View()
+			ex.gw.board.Forget(func(id string) bool { _, known := vi.Get(id); return known })
 		}
 	}
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -20,18 +20,18 @@
 	LinkMbps int
 	// Store is the address of the platform's store.
 	Store string
-	// KeyRevocationBound is the time after which no instance may accept a revoked
-	// key. Zero means that there is no such bound.
+	// KeyRevocationBound is the time after the revocation of a key from which on
+	// no instance may accept it. Zero means that there is no such bound.
 	KeyRevocationBound time.Duration
 	// ConfigurationBound is the time within which a new configuration must be in
 	// effect. Zero means that there is no such bound.
 	ConfigurationBound time.Duration
 	// ShutdownTimeout is the time from SIGTERM to SIGKILL. Values of up to 500 ms
-	// (shutdownMargin) select the default of 8 s.
+	// (shutdownMargin) select defaultShutdownTimeout, 8 s.
 	ShutdownTimeout time.Duration
 	// RetryRatio, RetryWindow and RetryExtra are the retry budget of all instances
-	// together: within a window, RetryRatio retries per request and RetryExtra
-	// more. A zero RetryWindow selects defaultRetryWindow.
+	// together: for each service and within a sliding window, RetryRatio retries per
+	// request and RetryExtra more. A zero RetryWindow selects defaultRetryWindow.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetryExtra  float64
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// crashBroadcastLimit is the number of instances from which on crash reports go
-// to only one instance of each other zone instead of to all instances. The rest
-// learn of crashes when they pull from a peer.
+// crashBroadcastLimit is the number of instances from which on crash reports go to
+// all instances of the same zone, but to only one instance of each other zone. The
+// remaining instances learn of crashes when they pull the suspects of a peer.
 const crashBroadcastLimit = 16
 
 // crashRecipients returns the addresses of the instances that crash reports are
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -41,9 +41,11 @@
 // Contact implements feed.Sink.
 func (cs *configurationSink) Contact(start time.Duration) { cs.state.Confirm(start) }
 
-// endpointSink also tells the relay's change log how fresh the roster is.
+// endpointSink updates the roster. It also reports answered calls to the relay log,
+// so that other instances learn how old the roster is.
 type endpointSink struct {
 	*roster.Roster
+	// onAnswer is called with the boot time at which an answered call started.
 	onAnswer func(start time.Duration)
 }
 
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,7 +8,7 @@
 const (
 	// notReadyDelay is the time for which new connections are still accepted
 	// after the instance reports that it is not ready, so that the platform can
-	// notice it. It is at most a third of the shutdown timeout.
+	// notice it. The time is limited to a third of the shutdown timeout.
 	notReadyDelay = 2600 * time.Millisecond
 	// shutdownMargin is kept free between the end of the shutdown and SIGKILL.
 	shutdownMargin = 500 * time.Millisecond
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -37,8 +37,8 @@
 	maxBodyBytes = 64 << 20
 	// readTimeout limits the time from the first byte of a request to its last.
 	readTimeout = 30 * time.Second
-	// idleTimeout is longer than the idle timeout that callers are told, so that
-	// they close the connection first.
+	// idleTimeout is longer than the idle timeout that is announced to callers, so
+	// that callers close idle connections first.
 	idleTimeout = 75 * time.Second
 )
 
@@ -156,8 +156,9 @@
 	ctx.Response.SetBodyRaw(rp.Body)
 }
 
-// refuse writes the instance's own answer. It uses a status that implies that the
-// request has not run only if the outcome guarantees it, and 502 otherwise.
+// refuse writes the instance's own answer. If the status of the refusal's rule
+// implies that the request has not run but its outcome does not guarantee that,
+// refuse uses the status 502 instead.
 func refuse(ctx *fasthttp.RequestCtx, re *dispatch.Request, er *refusal.Error) {
 	ru := er.Rule()
 	status := ru.Status
@@ -183,13 +184,13 @@
 	}
 }
 
-// maxRetryAfterDivisor limits Retry-After to the caller's timeout divided by this
-// number. A longer delay would leave too little time for the answer.
-const maxRetryAfterDivisor = 4
+// retryAfterDivisor divides the caller's timeout to get the maximum Retry-After. A
+// longer delay would leave too little time for the answer.
+const retryAfterDivisor = 4
 
 func retryAfter(re *dispatch.Request, pause time.Duration) time.Duration {
 	if re.Budget > 0 {
-		pause = min(pause, re.Budget/maxRetryAfterDivisor)
+		pause = min(pause, re.Budget/retryAfterDivisor)
 	}
 	return pause
 }
--- a/internal/trace/loss.go
+++ b/internal/trace/loss.go
@@ -19,9 +19,9 @@
 	// EndingPaused means that all events were delivered, with a gap between two
 	// events that exceeded the route's objective.
 	EndingPaused Ending = "delivered_paused"
-	// EndingEngineDrained and EndingEngineLost mean that the engine ended before
-	// the generation. The instance had received the engine's notice before the
-	// stream broke in the first case, and had not in the second.
+	// EndingEngineDrained and EndingEngineLost mean that the engine stopped before
+	// the generation was complete. In the first case, the instance knew before the
+	// stream broke that the engine was draining or removed.
 	EndingEngineDrained Ending = "engine_left"
 	EndingEngineLost    Ending = "engine_lost"
 	// EndingPathInterrupted means that the connection to an engine of another zone
@@ -61,20 +61,21 @@
 	paused    bool
 }
 
-// lossCounter collects generations and the events that explain their endings.
-type lossCounter struct {
+// endingCounter collects generations and the events that explain their endings.
+// Times are in Unix milliseconds.
+type endingCounter struct {
 	generations   map[string]*generation // by instance and request
-	departures    map[string]int64       // time of the first notice, by instance and endpoint
+	departures    map[string]int64       // earliest time of a drain or removal, by instance and endpoint
 	endpointZones map[string]string      // by endpoint
 	instanceZones map[string]string      // by instance
-	starts        map[string][]int64     // by instance
+	starts        map[string][]int64     // start times, by instance
 }
 
 // Losses reads the logs of instances and counts the endings of the generations that
 // were placed on engines. The logs may be in any order. The most frequent ending
 // comes first.
 func Losses(logs io.Reader) ([]Row, error) {
-	lo := &lossCounter{
+	ec := &endingCounter{
 		generations: make(map[string]*generation), departures: make(map[string]int64), endpointZones: make(map[string]string),
 		instanceZones: make(map[string]string), starts: make(map[string][]int64),
 	}
@@ -82,38 +83,38 @@
 	sc.Buffer(make([]byte, 0, maxLineBytes/16), maxLineBytes)
 	for sc.Scan() {
 		if li, found := parse(sc.Bytes()); found {
-			lo.add(li)
+			ec.add(li)
 		}
 	}
 	if err := sc.Err(); err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	return lo.rows(), nil
+	return ec.rows(), nil
 }
 
 // add processes one line.
-func (lo *lossCounter) add(li Line) {
+func (ec *endingCounter) add(li Line) {
 	switch li.Event {
 	case "started":
-		lo.instanceZones[li.Instance] = li.Zone
-		lo.starts[li.Instance] = append(lo.starts[li.Instance], li.Time)
+		ec.instanceZones[li.Instance] = li.Zone
+		ec.starts[li.Instance] = append(ec.starts[li.Instance], li.Time)
 		return
 	case "endpoint_leaves", "endpoint_gone", "engine_leaves":
 		key := li.Instance + "/" + li.Endpoint
-		if earliest, known := lo.departures[key]; !known || li.Time < earliest {
-			lo.departures[key] = li.Time
+		if earliest, known := ec.departures[key]; !known || li.Time < earliest {
+			ec.departures[key] = li.Time
 		}
 	case "placed":
 		key := li.Instance + "/" + li.Request
-		if lo.generations[key] == nil {
-			lo.generations[key] = &generation{request: li.Request, instance: li.Instance, startTime: li.Time}
+		if ec.generations[key] == nil {
+			ec.generations[key] = &generation{request: li.Request, instance: li.Instance, startTime: li.Time}
 		}
-		lo.generations[key].endpoint = li.Endpoint
+		ec.generations[key].endpoint = li.Endpoint
 	}
 	if li.Zone != "" && li.Endpoint != "" {
-		lo.endpointZones[li.Endpoint] = li.Zone
+		ec.endpointZones[li.Endpoint] = li.Zone
 	}
-	if ge := lo.generations[li.Instance+"/"+li.Request]; ge != nil {
+	if ge := ec.generations[li.Instance+"/"+li.Request]; ge != nil {
 		ge.add(li)
 	}
 }
@@ -146,21 +147,21 @@
 
 // finalEnding returns the ending of a generation, taking into account the lines
 // about its engine, its zone and its instance.
-func (lo *lossCounter) finalEnding(ge *generation) Ending {
+func (ec *endingCounter) finalEnding(ge *generation) Ending {
 	switch ge.ending {
 	case EndingDelivered:
 		if ge.paused {
 			return EndingPaused
 		}
 	case EndingEngineLost, EndingPathInterrupted:
-		if departure, known := lo.departures[ge.instance+"/"+ge.endpoint]; known && departure <= ge.endTime {
+		if departure, known := ec.departures[ge.instance+"/"+ge.endpoint]; known && departure <= ge.endTime {
 			return EndingEngineDrained
 		}
-		if ge.ending == EndingPathInterrupted && lo.endpointZones[ge.endpoint] == lo.instanceZones[ge.instance] {
+		if ge.ending == EndingPathInterrupted && ec.endpointZones[ge.endpoint] == ec.instanceZones[ge.instance] {
 			return EndingEngineLost
 		}
 	case "":
-		if slices.ContainsFunc(lo.starts[ge.instance], func(start int64) bool { return start > ge.startTime }) {
+		if slices.ContainsFunc(ec.starts[ge.instance], func(start int64) bool { return start > ge.startTime }) {
 			return EndingInstanceRestarted
 		}
 		return EndingOpen
@@ -168,10 +169,10 @@
 	return ge.ending
 }
 
-func (lo *lossCounter) rows() []Row {
+func (ec *endingCounter) rows() []Row {
 	byEnding := make(map[Ending]*Row)
-	for _, ge := range lo.generations {
-		ending := lo.finalEnding(ge)
+	for _, ge := range ec.generations {
+		ending := ec.finalEnding(ge)
 		ro := byEnding[ending]
 		if ro == nil {
 			ro = &Row{Ending: ending, Example: ge.request}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,6 +1,6 @@
 // Package trace finds in the logs of instances what happened to one request: the
-// request's own lines, and lines about its instance and its endpoints from up to
-// 5 s before.
+// request's own lines, and lines about its instance and its endpoints that were
+// logged between 5 s before the first of its own lines and the last of them.
 //
 // # Usage
 //
@@ -167,8 +167,8 @@
 	return "The logs do not say how it ended; a plain call that was answered has no line."
 }
 
-// breakDetail describes the events before the broken stream of line end: whether
-// the endpoint had announced that it leaves, and why a migration failed.
+// breakDetail describes the events before line end, which reports a broken stream:
+// whether the endpoint was already draining or removed, and why a migration failed.
 func (tr Trace) breakDetail(end Line) string {
 	text := ""
 	for _, li := range tr.Lines {
