--- a/internal/allocation/acquire.go
+++ b/internal/allocation/acquire.go
@@ -19,7 +19,7 @@
 	// other zones are asked.
 	spilloverAfter = 100 * time.Millisecond
 	// fullZoneBackoff is the time for which a zone that had no free place is
-	// not asked again.
+	// not asked again while the request is queued in another zone.
 	fullZoneBackoff = 200 * time.Millisecond
 	// noHolderTimeout limits how long a request waits while no holder can be
 	// reached.
@@ -44,12 +44,12 @@
 	groupOrder []Group
 	// asked contains the groups whose holders may know the key.
 	asked map[Group]bool
-	// queueGroup is the group in which the request is queued, if queued is
-	// true.
-	queueGroup  Group
-	queued      bool
-	wait        time.Duration
-	lastRefusal *refusal.Error
+	// queueGroup is the group at whose holder the request is queued, if queued
+	// is true.
+	queueGroup   Group
+	queued       bool
+	wait         time.Duration
+	firstRefusal *refusal.Error
 }
 
 // Acquire implements admission.Granter. Its errors are of type *refusal.Error.
@@ -114,15 +114,15 @@
 		if len(at.groupOrder) == 0 {
 			return nil, refusal.New(refusal.NoCapacity, "no endpoint of service "+at.re.Service+" takes new work")
 		}
-		at.lastRefusal = nil
+		at.firstRefusal = nil
 		if gr := gt.askAll(ctx, at, cf); gr != nil {
 			return gr, nil
 		}
 		if at.queued || ctx.Err() != nil {
 			continue
 		}
-		if at.lastRefusal != nil {
-			return nil, at.lastRefusal
+		if at.firstRefusal != nil {
+			return nil, at.firstRefusal
 		}
 		if gt.Clock.Since(at.began) > noHolderTimeout {
 			return nil, refusal.New(refusal.NoCapacity, "no allocator is reached and this instance's share is in use")
@@ -229,9 +229,9 @@
 	}
 }
 
-// noteRefusal keeps the first refusal for the caller. A zone without a free
-// place is remembered for fullZoneBackoff, and the other zones are still
-// asked.
+// noteRefusal keeps the first refusal for the caller, and remembers when the
+// group had no free place. The remaining groups are still asked, because one of
+// them may have a free place.
 func (gt *Granter) noteRefusal(at *attempt, gr Group, reply *AcquireReply) {
 	er := reply.refusal()
 	if er.Reason == refusal.NoCapacity {
@@ -239,8 +239,8 @@
 		gt.refusedAt[gr] = gt.Clock.Now()
 		gt.mu.Unlock()
 	}
-	if at.lastRefusal == nil {
-		at.lastRefusal = er
+	if at.firstRefusal == nil {
+		at.firstRefusal = er
 	}
 }
 
@@ -286,7 +286,7 @@
 		return reply, gr.newError("acquire", reply.Failure, nil)
 	}
 	if gt.Clock.Since(begun) > maxGrantAge && reply.Endpoint != "" {
-		return reply, gr.newError("acquire", NoAnswer, errors.New("the reply with the grant took longer than 5 s"))
+		return reply, gr.newError("acquire", NoAnswer, errors.New("the reply arrived after the maximum age of a grant; ignoring the grant"))
 	}
 	return reply, nil
 }
--- a/internal/allocation/allocation_test.go
+++ b/internal/allocation/allocation_test.go
@@ -58,8 +58,8 @@
 	return rapid.SliceOfN(one, 8, 20)
 }
 
-// apply carries out an event. Other selects the second instance, the fault or
-// the length of a pause.
+// apply carries out an event. Other selects the second instance, the kind of
+// fault, the rate of loss or the length of a pause in seconds.
 func (wo *world) apply(ev event) {
 	in, other := wo.instances[ev.Index%len(wo.instances)], wo.instances[ev.Other%len(wo.instances)]
 	wo.mu.Lock()
--- a/internal/allocation/bench_test.go
+++ b/internal/allocation/bench_test.go
@@ -117,7 +117,7 @@
 
 type membersFunc func() []platform.Instance
 
-func (fi membersFunc) Members() []platform.Instance { return fi() }
+func (mf membersFunc) Members() []platform.Instance { return mf() }
 
 type idleEndpoints struct{}
 
--- a/internal/allocation/crash.go
+++ b/internal/allocation/crash.go
@@ -17,9 +17,9 @@
 // a plain service still listens.
 const dialTimeout = 500 * time.Millisecond
 
-// recordOutcome passes the result of a request to the suspicion registry. A
-// request that lost its endpoint is investigated. A suspect that finished is
-// cleared.
+// recordOutcome passes the result of a request to the suspicion registry. If
+// the request was lost, it checks whether the endpoint crashed. A suspect that
+// finished is cleared.
 func (gt *Granter) recordOutcome(pl *place, re admission.Result) {
 	if gt.Suspicion == nil || pl.re.Fingerprint == 0 {
 		return
--- a/internal/allocation/deferred.go
+++ b/internal/allocation/deferred.go
@@ -7,10 +7,10 @@
 	"filbertstall.example/filbertstall/internal/refusal"
 )
 
-// enqueueDeferred hands deferred requests to the decision core as far as they
-// may be queued now. At most one suspect is queued at a time. It does not go
-// to an endpoint where another suspect runs, and it waits while a suspect with
-// the same fingerprint runs.
+// enqueueDeferred queues in the decision core those deferred requests that may
+// be queued now. At most one suspect is queued at a time. It does not go to an
+// endpoint where another suspect runs, and it waits while a suspect with the
+// same fingerprint runs.
 func (ho *holder) enqueueDeferred(now time.Time) {
 	remaining := ho.deferred[:0]
 	queued := ho.suspectQueued()
@@ -40,9 +40,10 @@
 	return false
 }
 
-// enqueue hands a request to the decision core. It returns false if the
-// request has to stay deferred: either all endpoints that it may use are
-// closed only temporarily, or other suspects run there.
+// enqueue queues a request in the decision core. It returns false if the
+// request has to stay deferred: because each endpoint that it may use is
+// temporarily closed or, for a suspect, runs another suspect, or because a
+// suspect with the same fingerprint runs anywhere.
 func (ho *holder) enqueue(now time.Time, rq *request) bool {
 	exclude, separate := rq.re.Exclude, true
 	if rq.suspect {
--- a/internal/allocation/fallback.go
+++ b/internal/allocation/fallback.go
@@ -73,8 +73,8 @@
 		li.hasHeadroom(now, en, len(vi.union()))
 }
 
-// All disconnected members together may start requests at 1/burstDivisor of an
-// endpoint's places within startWindow.
+// Within startWindow, all disconnected members together may start requests at
+// up to 1/burstDivisor of an endpoint's places.
 const (
 	burstDivisor = 4
 	startWindow  = 2 * maxReportLag
--- a/internal/allocation/granter.go
+++ b/internal/allocation/granter.go
@@ -86,14 +86,17 @@
 	syncRequested chan struct{}
 	leaving       atomic.Bool
 
-	mu          sync.Mutex
-	links       map[Group]*link
-	holders     map[Group]*holder
-	leases      map[Group]*lease.Lease
-	records     map[Group]lease.Record
-	places      map[*admission.Grant]*grantedPlace
+	mu      sync.Mutex
+	links   map[Group]*link
+	holders map[Group]*holder
+	leases  map[Group]*lease.Lease
+	records map[Group]lease.Record
+	places  map[*admission.Grant]*grantedPlace
+	// crashChecks maps the fingerprints of lost requests to channels that are
+	// closed when it is known whether the endpoint crashed.
 	crashChecks map[uint64]chan struct{}
-	refusedAt   map[Group]time.Time
+	// refusedAt maps groups to the last time at which they had no free place.
+	refusedAt map[Group]time.Time
 }
 
 // grantedPlace is a place that is in use, and the link that it belongs to.
--- a/internal/allocation/handover_test.go
+++ b/internal/allocation/handover_test.go
@@ -29,7 +29,7 @@
 	failed        int
 }
 
-// kill stops an instance and cuts it off, as if its machine had failed.
+// kill stops an instance and isolates it, as if its machine had failed.
 func (wo *world) kill(in *instance) {
 	in.stop()
 	wo.mu.Lock()
@@ -40,8 +40,8 @@
 	wo.offline[in.name] = true
 }
 
-// simulateHandover runs load on the other instances while leave ends the
-// holder of zone a.
+// simulateHandover stops the holder of zone a by calling leave, and runs load on
+// the other instances from then on.
 func simulateHandover(seed uint64, leave func(wo *world, in *instance)) handover {
 	wo := newWorld(seed, []string{"a", "b"}, 2, 2)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -88,8 +88,8 @@
 }
 
 // measureHandovers simulates one handover per seed. It logs the distributions
-// and returns the longest time without a holder and the part of the requests
-// that failed.
+// and returns the longest time without a holder and the fraction of the
+// requests that failed.
 func measureHandovers(t *testing.T, name string, leave func(wo *world, in *instance)) (withoutHolder time.Duration, failed float64) {
 	var all handover
 	var durations []time.Duration
--- a/internal/allocation/holder.go
+++ b/internal/allocation/holder.go
@@ -27,8 +27,8 @@
 	// maxReportLag is the upper bound on the age of the load that an endpoint
 	// reports.
 	maxReportLag = 2 * time.Second
-	// recoveryLimit limits how long a new holder waits for members that it has
-	// not heard from yet.
+	// recoveryLimit limits how long a new holder waits for members that have not
+	// sent it a sync yet.
 	recoveryLimit = memberDeadAfter
 	// refreshInterval limits how old the capacities may be that the decision
 	// core works with.
@@ -43,8 +43,8 @@
 	// sequence is that of the instance's last sync before it asked. A later
 	// sync without the key means that the instance has given up.
 	sequence int64
-	// asked is when the instance last asked for the request, or reported it in
-	// flight.
+	// asked is when the instance last asked for the request, or when it
+	// reported a request in flight that the holder did not know.
 	asked   time.Time
 	suspect bool
 	// submitted means that the request was queued in the decision core.
@@ -118,7 +118,8 @@
 	delisted map[string]time.Time
 	// listRead is when delisted was last updated.
 	listRead time.Time
-	// sequences maps endpoints to the last cache event that was processed.
+	// sequences maps endpoints to the sequence number of the last cache event
+	// that was processed.
 	sequences map[string]int64
 
 	configuration *kind.Configuration
@@ -280,8 +281,8 @@
 }
 
 // stamp returns the holder's time for a message to a member, in nanoseconds
-// since the holder began, plus 1 because zero means no stamp. The member
-// echoes it in its next sync.
+// since it took the lease, plus 1 because zero means no stamp. The member
+// echoes the stamp in its next sync.
 func (ho *holder) stamp(now time.Time) int64 { return now.Sub(ho.since).Nanoseconds() + 1 }
 
 // cacheSequence returns the sequence number of the last cache event that was
--- a/internal/allocation/holder_test.go
+++ b/internal/allocation/holder_test.go
@@ -127,8 +127,8 @@
 	gm.Expect(rq.granted()).To(BeTrue())
 }
 
-// Checks that places reserved for a silent member are granted as soon as it is
-// heard from again. Guards against counting the end of a reservation as a
+// Checks that places reserved for a silent member are granted as soon as it
+// sends a sync again. Guards against counting the end of a reservation as a
 // failure of the endpoint.
 func TestKeptPlacesComeBack(t *testing.T) {
 	gm := NewWithT(t)
@@ -174,7 +174,7 @@
 }
 
 // Guards against a new holder that waits for load reports of a plain service,
-// which never come. Although one member has not been heard from, the holder
+// which never come. Although one member has not sent a sync yet, the holder
 // must grant all places except that member's share.
 func TestPlainServiceSettlesWithoutReports(t *testing.T) {
 	gm := NewWithT(t)
@@ -246,7 +246,7 @@
 	var reply InFlightReply
 	gm.Expect(gt.Service().InFlight(&InFlightArgs{Group: gr, Address: "new", Epoch: 2}, &reply)).To(Succeed())
 	pl := &place{key: "key", tokens: new(atomic.Int64)}
-	gm.Expect(li.accept(pl, 1, "old")).To(BeFalse(), "the new holder has been told that nothing is in flight here")
+	gm.Expect(li.accept(pl, 1, "old")).To(BeFalse(), "the new holder has received a sync without this place")
 	gm.Expect(li.accept(pl, 2, "new")).To(BeTrue())
 }
 
--- a/internal/allocation/link.go
+++ b/internal/allocation/link.go
@@ -64,9 +64,9 @@
 // exchange with the group's holder.
 type link struct {
 	group Group
-	// hasShare reports whether this instance has a share in the group. That is so
-	// for groups of its own zone and of zones without instances. Their holders
-	// get syncs from it even when it has nothing in flight.
+	// hasShare reports whether this instance has a share in the group. It has
+	// one in groups of its own zone and of zones without instances. It sends
+	// syncs to their holders even when it has nothing in flight.
 	hasShare func() bool
 
 	mu       sync.Mutex
@@ -85,7 +85,7 @@
 	// sync was sent, answered or not.
 	acked time.Time
 	sent  time.Time
-	// sendUntil permits messages until then even though the holder has not
+	// Until sendUntil, messages may be sent even though the holder has not
 	// answered lately.
 	sendUntil   time.Time
 	boots       map[string]bootState
@@ -103,9 +103,9 @@
 // connected reports whether the holder has answered a recent sync.
 func (li *link) connected(now time.Time) bool { return now.Sub(li.acked) < disconnectedAfter }
 
-// maySend reports whether messages may be sent that show the holder that this
-// instance is connected. A disconnected instance stays silent, so that the
-// holder reserves its share.
+// maySend reports whether syncs and Acquire calls may be sent. The holder
+// counts an instance that sends syncs as connected. A disconnected instance
+// therefore sends none, so that the holder reserves its share.
 func (li *link) maySend(now time.Time) bool {
 	return li.connected(now) || now.Before(li.sendUntil)
 }
@@ -139,8 +139,9 @@
 	}
 }
 
-// accept turns a grant into a place. It returns false if a newer holder has
-// already been told what is in flight here, or if the caller has left.
+// accept turns a grant into a place. It returns false if this instance has
+// already reported its requests in flight to a newer holder, or if the request
+// has been withdrawn.
 func (li *link) accept(pl *place, epoch int64, address string) bool {
 	li.mu.Lock()
 	defer li.mu.Unlock()
--- a/internal/allocation/member_sync.go
+++ b/internal/allocation/member_sync.go
@@ -133,9 +133,10 @@
 
 // presumedEnded reports whether a request of a member that has been silent for
 // memberDeadAfter no longer runs: its deadline has passed by more than
-// deadlineGrace, or a recent report of the endpoint shows no more requests
-// than other members have there. At an endpoint without reports, it counts as
-// ended after unreportedDeadAfter.
+// deadlineGrace, or a load report that was requested more than
+// memberDeadAfter-maxReportLag after the member was last seen shows no more
+// requests than other members have there. At an endpoint without reports, it
+// counts as ended after unreportedDeadAfter.
 func (ho *holder) presumedEnded(now time.Time, rq *request) bool {
 	lastSeen := ho.since
 	if rq.asked.After(lastSeen) {
--- a/internal/allocation/reserve.go
+++ b/internal/allocation/reserve.go
@@ -50,11 +50,12 @@
 }
 
 // requiredReserve returns how many places of an endpoint must stay free in
-// addition to the fallback places: the shares of silent members and, while a
-// new holder has not heard from all members, the requests that run there
-// without belonging to a member that it knows. It returns false while the
-// number cannot be determined, and while an endpoint that failed has not
-// reported its boot id again.
+// addition to the fallback places: the shares of silent members or, if that is
+// more, the reported requests that this holder does not know. The latter count
+// while a new holder has not received a sync from all members, and while a
+// member counts as dead. It returns false while the number cannot be
+// determined, and while an endpoint that failed has not reported its boot id
+// again.
 func (ho *holder) requiredReserve(now time.Time, en kind.Endpoint) (int, bool) {
 	reserve := 0
 	for _, name := range ho.silent {
@@ -67,8 +68,8 @@
 	if found && ho.anyDeparted(now) {
 		reserve = max(reserve, re.total-ho.running(en.Name))
 	}
-	// Endpoints of plain services report nothing, so the shares of the members
-	// that have not been heard from are all that can be reserved.
+	// Endpoints of plain services report nothing, so only the shares of the
+	// members without recent contact can be reserved.
 	if !ho.recovering(now) || !ho.reporting {
 		return reserve, true
 	}
@@ -174,9 +175,9 @@
 }
 
 // recovering reports whether a member may have requests in flight that an
-// earlier holder granted and that this one does not know. That ends when every
-// member has been heard from or counts as dead, and after recoveryLimit at the
-// latest.
+// earlier holder granted and that this one does not know. It is false once
+// every member has sent a sync with a stamp of this holder or counts as dead,
+// and after recoveryLimit at the latest.
 func (ho *holder) recovering(now time.Time) bool {
 	if now.Sub(ho.since) > recoveryLimit {
 		return false
--- a/internal/allocation/run.go
+++ b/internal/allocation/run.go
@@ -72,7 +72,7 @@
 
 // Leave releases all leases for a graceful shutdown, so that other instances
 // can take them at once instead of waiting for them to expire. This instance
-// takes no lease after it.
+// takes no lease afterwards.
 func (gt *Granter) Leave(ctx context.Context) {
 	gt.prepare()
 	gt.leaving.Store(true)
--- a/internal/allocation/wire.go
+++ b/internal/allocation/wire.go
@@ -15,7 +15,7 @@
 type AcquireArgs struct {
 	Group    Group
 	Instance string
-	// Sequence is that of the last Sync that the instance composed for the
+	// Sequence is that of the last sync that the instance composed for the
 	// group.
 	Sequence int64
 	// Key identifies the request. It is unique among all instances, and stays
@@ -65,8 +65,8 @@
 	Groups   []GroupSync
 }
 
-// GroupSync is the part of a SyncArgs for one group. The holder ignores one
-// whose Sequence is not higher than that of the last one it processed.
+// GroupSync is the part of a SyncArgs for one group. The holder rejects it as
+// Stale if its Sequence is not higher than that of the last one it processed.
 type GroupSync struct {
 	Group    Group
 	Sequence int64
@@ -127,8 +127,8 @@
 type Boot struct {
 	Endpoint string
 	ID       string
-	// Warm means that the endpoint has proved since that boot that it supports its
-	// full capacity.
+	// Warm means that the endpoint has proved since that boot that it supports
+	// its full capacity.
 	Warm bool
 }
 
--- a/internal/allocation/wire_world_test.go
+++ b/internal/allocation/wire_world_test.go
@@ -130,39 +130,39 @@
 
 // access delays an operation and fails it if the instance cannot reach the
 // platform.
-func (cs *faultyStore) access(op string) error {
-	cs.wo.awaitResume(cs.name)
+func (fs *faultyStore) access(op string) error {
+	fs.wo.awaitResume(fs.name)
 	time.Sleep(callDelay)
-	cs.wo.mu.Lock()
-	defer cs.wo.mu.Unlock()
-	if cs.wo.offline[cs.name] {
+	fs.wo.mu.Lock()
+	defer fs.wo.mu.Unlock()
+	if fs.wo.offline[fs.name] {
 		return &platform.Error{Op: op, Kind: platform.Unavailable}
 	}
 	return nil
 }
 
 // List implements platform.Store.
-func (cs *faultyStore) List(ctx context.Context, prefix string) (platform.Listing, error) {
-	if err := cs.access("list"); err != nil {
+func (fs *faultyStore) List(ctx context.Context, prefix string) (platform.Listing, error) {
+	if err := fs.access("list"); err != nil {
 		return platform.Listing{}, err
 	}
-	return cs.Store.List(ctx, prefix)
+	return fs.Store.List(ctx, prefix)
 }
 
 // Update implements platform.Store.
-func (cs *faultyStore) Update(ctx context.Context, key string, previous int64, value []byte) (int64, error) {
-	if err := cs.access("update"); err != nil {
+func (fs *faultyStore) Update(ctx context.Context, key string, previous int64, value []byte) (int64, error) {
+	if err := fs.access("update"); err != nil {
 		return 0, err
 	}
-	version, err := cs.Store.Update(ctx, key, previous, value)
-	cs.wo.awaitResume(cs.name)
+	version, err := fs.Store.Update(ctx, key, previous, value)
+	fs.wo.awaitResume(fs.name)
 	return version, err
 }
 
 // Instances implements platform.Store.
-func (cs *faultyStore) Instances(ctx context.Context) ([]platform.Instance, error) {
-	if err := cs.access("instances"); err != nil {
+func (fs *faultyStore) Instances(ctx context.Context) ([]platform.Instance, error) {
+	if err := fs.access("instances"); err != nil {
 		return nil, err
 	}
-	return cs.Store.Instances(ctx)
+	return fs.Store.Instances(ctx)
 }
--- a/internal/allocation/world_test.go
+++ b/internal/allocation/world_test.go
@@ -31,7 +31,7 @@
 	// work. Until then, instances may have an older configuration.
 	closeGrace = 3 * time.Second
 	callDelay  = time.Millisecond
-	// reportAge is how far load reports lag.
+	// reportAge is the age of the load that a report contains.
 	reportAge  = 300 * time.Millisecond
 	maxRunTime = 4000 // milliseconds
 	// longRun is the duration of a few requests, longer than all others.
