--- a/internal/call/passing_test.go
+++ b/internal/call/forwarding_test.go
@@ -30,13 +30,13 @@
 	RunSpecs(t, "call")
 }
 
-// received is a request as the endpoint got it.
+// received is a request as the endpoint received it.
 type received struct {
 	method, uri, body string
 	header            http.Header
 }
 
-var _ = Describe("passing a call on", func() {
+var _ = Describe("forwarding a call", func() {
 	var got []received
 	var in *instance
 	var connections atomic.Int32
@@ -99,7 +99,7 @@
 		return resp, err
 	}
 
-	It("passes end-to-end headers both ways and nothing of one connection", func() {
+	It("forwards end-to-end headers both ways and drops hop-by-hop headers", func() {
 		resp, err := send(http.MethodPost, "/loans?x=1&y=%2F", func(req *fasthttp.Request) {
 			req.SetBodyString("{}")
 			for name, value := range map[string]string{
@@ -126,16 +126,16 @@
 		Expect(resp.Header.ContentType()).To(BeEmpty())
 	})
 
-	// net/http replaces the Connection header of an answer that ends its
-	// connection, so this looks at a lookup, whose connection is kept.
-	It("drops the headers that an answer's Connection header lists", func() {
+	// net/http replaces the Connection header of a response that closes its
+	// connection. The test uses an idempotent lookup, whose connection is kept.
+	It("drops the headers that a response's Connection header lists", func() {
 		resp, err := send(http.MethodGet, "/catalogue/7", nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(resp.Header.Peek("Location"))).To(Equal("/loans/7"))
 		Expect(resp.Header.Peek("X-Hop")).To(BeEmpty())
 	})
 
-	It("gives a resend the same answer with its headers", func() {
+	It("gives a resend the same response with its headers", func() {
 		key := func(req *fasthttp.Request) { req.Header.Set("Idempotency-Key", "k") }
 		first, err := send(http.MethodPost, "/loans", key)
 		Expect(err).NotTo(HaveOccurred())
@@ -145,7 +145,7 @@
 		Expect(got).To(HaveLen(1))
 	})
 
-	It("keeps an endpoint's 5xx as the answer of the call", func() {
+	It("records an endpoint's 5xx response as the outcome of the call", func() {
 		key := func(req *fasthttp.Request) { req.Header.Set("Idempotency-Key", "k") }
 		for range 2 {
 			resp, err := send(http.MethodPost, "/fails", key)
@@ -155,8 +155,8 @@
 		Expect(got).To(HaveLen(1))
 	})
 
-	// A kept connection may have gone silent: the call would be lost, and its
-	// outcome unknown, though no endpoint saw it.
+	// The peer of a kept connection may have failed without closing it. A call on
+	// it would be lost with an unknown outcome, although no endpoint received it.
 	It("uses a kept connection only for what may be repeated", func() {
 		for range 3 {
 			_, err := send(http.MethodPost, "/loans", nil)
@@ -170,7 +170,7 @@
 		Expect(connections.Load()).To(Equal(int32(4)))
 	})
 
-	DescribeTable("passes each method, also without a body",
+	DescribeTable("forwards each method without a body",
 		func(method string) {
 			_, err := send(method, "/loans/a%2Fb", nil)
 			Expect(err).NotTo(HaveOccurred())
@@ -182,7 +182,7 @@
 		Entry(nil, "GET"), Entry(nil, "HEAD"), Entry(nil, "PUT"), Entry(nil, "DELETE"), Entry(nil, "PATCH"),
 	)
 
-	DescribeTable("refuses what could be read in two ways",
+	DescribeTable("refuses an ambiguous path or key",
 		func(path string, keys ...string) {
 			_, err := send(http.MethodPost, path, func(req *fasthttp.Request) {
 				for _, key := range keys {
--- a/internal/call/handler.go
+++ b/internal/call/handler.go
@@ -1,9 +1,9 @@
-// Package call serves calls of plain services.
+// Package call forwards requests of callers to the endpoints of plain services.
 //
-// A call whose route is declared idempotent is tried again. Any other call is
-// sent to one endpoint once; a further endpoint is tried only where no
-// connection was made. With an Idempotency-Key the record of calls holds this
-// also across resends to different instances, and keeps the answer for them.
+// A call whose route is declared idempotent is retried. Any other call is sent
+// once, and another endpoint is tried only if no connection was made. If such a
+// call has an Idempotency-Key, package record extends this guarantee to resends
+// of the call through any instance, and stores the response for them.
 //
 // # Usage
 //
@@ -32,29 +32,30 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// maxTries bounds the endpoints that a call is tried on that may not be
-// repeated.
+// maxTries is the maximum number of endpoints that are tried for a call that is
+// not idempotent.
 const maxTries = 3
 
 // Sender sends a call to an endpoint. An error of kind endpoint.Unreachable
-// proves that nothing was sent.
+// guarantees that nothing was sent. After any other error the endpoint may have
+// received the call.
 type Sender interface {
 	Call(url string, re endpoint.Request) (endpoint.Response, error)
 }
 
-// Handler serves calls of plain services. Set the fields before the first
-// request.
+// Handler serves calls of plain services. The fields must be set before the
+// first request. It is safe for concurrent use.
 type Handler struct {
 	Granter admission.Granter
 	Sender  Sender
-	// Book is the record of keyed calls.
+	// Book records the calls that have an Idempotency-Key.
 	Book  *record.Book
 	Clock clockwork.Clock
 	Log   zerolog.Logger
-	// Scope takes the counters; nil means none.
+	// Scope receives the metrics. If it is nil, no metrics are reported.
 	Scope tally.Scope
-	// Retries decides on further tries of idempotent calls; nil means a policy
-	// of the handler's own.
+	// Retries is the retry policy of idempotent calls. If it is nil, the handler
+	// creates a policy that it shares with nobody.
 	Retries *retry.Policy
 
 	once      sync.Once
@@ -62,7 +63,7 @@
 	latencies sync.Map // service name to *retry.Latency
 }
 
-// event is what the handler counts beside refusals.
+// event is the label value of a counter for something other than a refusal.
 type event string
 
 const (
@@ -106,76 +107,77 @@
 	if err != nil {
 		return err
 	}
-	at := newAttempt(ex, se, ta, key)
-	an, err := ha.route(at, ta)
+	oc := newOutgoingCall(ex, se, ta, key)
+	an, err := ha.route(oc, ta)
 	if err != nil {
 		return err
 	}
-	write(&ex.HTTP.Response, an)
+	writeResponse(&ex.HTTP.Response, an)
 	return nil
 }
 
-// route picks the promise that the call gets.
-func (ha *Handler) route(at *attempt, ta target) (endpoint.Response, error) {
+// route serves the call with the delivery guarantee that applies to it.
+func (ha *Handler) route(oc *outgoingCall, ta target) (endpoint.Response, error) {
 	switch {
-	case ta.idempotent(at.service, at.request.Method):
-		return ha.repeat(at)
-	case at.request.Key != "":
-		return ha.keyed(at)
+	case ta.idempotent(oc.service, oc.request.Method):
+		return ha.serveIdempotent(oc)
+	case oc.request.Key != "":
+		return ha.serveKeyed(oc)
 	default:
-		return ha.single(at)
+		return ha.serveUnkeyed(oc)
 	}
 }
 
-// attempt is one request of a caller on its way to an endpoint.
-type attempt struct {
+// outgoingCall is a caller's request with the state that is kept while it is
+// sent to endpoints.
+type outgoingCall struct {
 	ex      *filter.Exchange
 	service kind.Service
 	request endpoint.Request
 
-	mu  sync.Mutex
-	ask admission.Request
-	// places counts the places that were asked for.
-	places int
+	mu           sync.Mutex
+	placeRequest admission.Request
+	// acquireCount is the number of times that a place was requested.
+	acquireCount int
 }
 
-// acquire asks for a place at an endpoint that the request was not sent to.
-func (ha *Handler) acquire(ctx context.Context, at *attempt) (*admission.Grant, error) {
-	at.mu.Lock()
-	at.places++
-	ask := at.ask
-	// An Acquire with an id that is known counts as the same request.
-	ask.ID += "-" + strconv.Itoa(at.places)
-	ask.Exclude = slices.Clone(ask.Exclude)
-	at.mu.Unlock()
-	return ha.Granter.Acquire(ctx, ask)
+// acquire requests a place at an endpoint that has not been excluded.
+func (ha *Handler) acquire(ctx context.Context, oc *outgoingCall) (*admission.Grant, error) {
+	oc.mu.Lock()
+	oc.acquireCount++
+	placeRequest := oc.placeRequest
+	// Acquire deduplicates by ID, so each request for a place needs its own.
+	placeRequest.ID += "-" + strconv.Itoa(oc.acquireCount)
+	placeRequest.Exclude = slices.Clone(placeRequest.Exclude)
+	oc.mu.Unlock()
+	return ha.Granter.Acquire(ctx, placeRequest)
 }
 
-// exclude keeps further tries away from an endpoint.
-func (at *attempt) exclude(name string) {
-	at.mu.Lock()
-	defer at.mu.Unlock()
-	at.ask.Exclude = append(at.ask.Exclude, name)
+// exclude prevents further attempts at the named endpoint.
+func (oc *outgoingCall) exclude(name string) {
+	oc.mu.Lock()
+	defer oc.mu.Unlock()
+	oc.placeRequest.Exclude = append(oc.placeRequest.Exclude, name)
 }
 
-func newAttempt(ex *filter.Exchange, se kind.Service, ta target, key string) *attempt {
+func newOutgoingCall(ex *filter.Exchange, se kind.Service, ta target, key string) *outgoingCall {
 	header := &ex.HTTP.Request.Header
 	body := append([]byte(nil), ex.HTTP.PostBody()...)
-	return &attempt{
+	return &outgoingCall{
 		ex: ex, service: se,
 		request: endpoint.Request{
 			Method: string(ex.HTTP.Method()), Path: ta.path + ta.query, ContentType: string(header.ContentType()),
-			Headers: endToEnd(header.All(), string(header.Peek("Connection"))), Key: key, Body: body,
+			Headers: endToEndRequestHeaders(header.All(), string(header.Peek("Connection"))), Key: key, Body: body,
 		},
-		ask: admission.Request{
+		placeRequest: admission.Request{
 			ID: ex.ID, Service: se.Name, Team: ex.Team.Name, Half: ex.Team.Half, Weight: ex.Team.Weight,
 			Fingerprint: fingerprint(header.Method(), ta, body), Deadline: ex.Deadline,
 		},
 	}
 }
 
-// fingerprint is equal for calls with equal content. Calls without a body
-// differ by their path.
+// fingerprint returns a hash of the method, the target and the body. Calls
+// with the same content have the same fingerprint.
 func fingerprint(method []byte, ta target, body []byte) uint64 {
 	di := xxhash.New()
 	for _, part := range []string{string(method), ta.service, ta.path, ta.query} {
@@ -186,23 +188,23 @@
 	return di.Sum64()
 }
 
-// send makes the call at the granted endpoint, once, and gives the place back.
-func (ha *Handler) send(at *attempt, gr *admission.Grant) (endpoint.Response, error) {
+// send sends the call to the granted endpoint once and releases the place.
+func (ha *Handler) send(oc *outgoingCall, gr *admission.Grant) (endpoint.Response, error) {
 	begun := ha.Clock.Now()
-	re := at.request
-	re.Timeout = at.ex.Deadline.Sub(begun)
+	re := oc.request
+	re.Timeout = oc.ex.Deadline.Sub(begun)
 	an, err := ha.Sender.Call(gr.Endpoint.URL, re)
 	ha.Granter.Release(gr, admission.Outcome{Result: resultOf(err), Elapsed: ha.Clock.Since(begun)})
 	if err != nil {
-		ha.Log.Warn().Err(err).Str("endpoint", gr.Endpoint.Name).Msg("call: try failed")
+		ha.Log.Warn().Err(err).Str("endpoint", gr.Endpoint.Name).Msg("call: attempt at endpoint failed")
 		return endpoint.Response{}, err
 	}
-	an.Headers = answerHeaders(an.Headers)
+	an.Headers = endToEndResponseHeaders(an.Headers)
 	return an, nil
 }
 
-// giveBack releases a place at which nothing was sent.
-func (ha *Handler) giveBack(gr *admission.Grant) {
+// releaseUnused releases a place that no request was sent to.
+func (ha *Handler) releaseUnused(gr *admission.Grant) {
 	ha.Granter.Release(gr, admission.Outcome{Result: admission.Unused})
 }
 
@@ -217,7 +219,8 @@
 	}
 }
 
-func refused(err error) *refusal.Error {
+// refusalFor returns the refusal for an error of Sender.Call.
+func refusalFor(err error) *refusal.Error {
 	if endpoint.IsKind(err, endpoint.Unreachable) {
 		return refusal.Wrap(refusal.EndpointRefused, "no endpoint took the call", err)
 	}
--- a/internal/call/header.go
+++ b/internal/call/header.go
@@ -9,23 +9,25 @@
 	"filbertstall.example/filbertstall/internal/endpoint"
 )
 
-// perConnection are the headers that speak of one connection or are set anew
-// on the next one.
-var perConnection = names(
+// hopByHopHeaders are the headers that are not forwarded because they describe
+// a single connection, or because the next hop sets them again.
+var hopByHopHeaders = headerSet(
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Content-Type",
 )
 
-// ownRequest are the request headers that the system itself reads or sets.
-var ownRequest = names(
+// reservedRequestHeaders are the request headers that the system reads or sets
+// itself. They are not copied from the caller's request.
+var reservedRequestHeaders = headerSet(
 	"Authorization", "Host", "Expect", "Request-Timeout",
 	endpoint.KeyHeader, endpoint.FencingHeader,
 )
 
-// ownAnswer are the answer headers that the entry sets.
-var ownAnswer = names("Date", "Server")
+// reservedResponseHeaders are the response headers that the entry server sets.
+// They are not copied from the endpoint's response.
+var reservedResponseHeaders = headerSet("Date", "Server")
 
-func names(list ...string) map[string]bool {
+func headerSet(list ...string) map[string]bool {
 	set := make(map[string]bool, len(list))
 	for _, name := range list {
 		set[strings.ToLower(name)] = true
@@ -33,9 +35,10 @@
 	return set
 }
 
-// endToEnd returns the request headers that go on to the endpoint. connection
-// is the Connection header, which may name further ones that do not.
-func endToEnd(all iter.Seq2[[]byte, []byte], connection string) []endpoint.Header {
+// endToEndRequestHeaders returns the request headers to forward to the
+// endpoint. connection is the value of the Connection header, which may list
+// further headers that must not be forwarded.
+func endToEndRequestHeaders(all iter.Seq2[[]byte, []byte], connection string) []endpoint.Header {
 	listed := make(map[string]bool)
 	for name := range strings.SplitSeq(connection, ",") {
 		listed[strings.ToLower(strings.TrimSpace(name))] = true
@@ -43,7 +46,7 @@
 	var kept []endpoint.Header
 	for name, value := range all {
 		lower := strings.ToLower(string(name))
-		if perConnection[lower] || ownRequest[lower] || listed[lower] {
+		if hopByHopHeaders[lower] || reservedRequestHeaders[lower] || listed[lower] {
 			continue
 		}
 		kept = append(kept, endpoint.Header{Name: string(name), Value: string(value)})
@@ -51,8 +54,9 @@
 	return kept
 }
 
-// answerHeaders returns the answer's headers that go on to the caller.
-func answerHeaders(all []endpoint.Header) []endpoint.Header {
+// endToEndResponseHeaders returns the response headers to forward to the
+// caller. Headers that the Connection header lists are left out.
+func endToEndResponseHeaders(all []endpoint.Header) []endpoint.Header {
 	listed := make(map[string]bool)
 	for _, he := range all {
 		if strings.EqualFold(he.Name, "Connection") {
@@ -64,7 +68,7 @@
 	var kept []endpoint.Header
 	for _, he := range all {
 		lower := strings.ToLower(he.Name)
-		if perConnection[lower] || ownAnswer[lower] || listed[lower] {
+		if hopByHopHeaders[lower] || reservedResponseHeaders[lower] || listed[lower] {
 			continue
 		}
 		kept = append(kept, he)
@@ -72,8 +76,8 @@
 	return kept
 }
 
-// write fills the caller's response.
-func write(resp *fasthttp.Response, an endpoint.Response) {
+// writeResponse copies the endpoint's response into the caller's response.
+func writeResponse(resp *fasthttp.Response, an endpoint.Response) {
 	resp.SetStatusCode(an.Status)
 	resp.Header.SetNoDefaultContentType(true)
 	resp.Header.SetContentType(an.ContentType)
--- a/internal/call/keyed.go
+++ b/internal/call/keyed.go
@@ -11,32 +11,34 @@
 )
 
 const (
-	// recordWait is how long an answer waits to be recorded before the caller
-	// gets it anyway. The recording goes on.
-	recordWait = 500 * time.Millisecond
-	// awaitMargin is the time before the deadline at which a resend stops
-	// waiting for the first call, so that its own answer still arrives.
+	// recordTimeout is how long a response is delayed until its outcome is
+	// recorded. After that the caller gets the response, and recording continues
+	// in the background.
+	recordTimeout = 500 * time.Millisecond
+	// awaitMargin is how long before its deadline a resend stops waiting for the
+	// outcome of the first call, so that its own response still arrives in time.
 	awaitMargin = 200 * time.Millisecond
 )
 
-// keyedCall is a call that the record holds to running at most once.
+// keyedCall is a call with an Idempotency-Key, which package record allows to
+// run at most once.
 type keyedCall struct {
-	*attempt
+	*outgoingCall
 	ha     *Handler
 	id     record.Hash
 	digest record.Hash
 }
 
-// keyed makes a call with an Idempotency-Key that may not be repeated.
+// serveKeyed serves a call that has an Idempotency-Key and is not idempotent.
 //
-// The order is: get a place, record that the call begins, send it. A refusal
-// for want of a place leaves no trace in the record, and nothing but the
-// recording lies between the place and the sending.
-func (ha *Handler) keyed(at *attempt) (endpoint.Response, error) {
-	re := at.request
+// It first acquires a place at an endpoint, then records that the call begins,
+// and then sends it. In this order a call that gets no place is not recorded,
+// and a place is held without use only while the begin is recorded.
+func (ha *Handler) serveKeyed(oc *outgoingCall) (endpoint.Response, error) {
+	re := oc.request
 	kc := &keyedCall{
-		attempt: at, ha: ha,
-		id:     record.NewID(at.ex.Team.Name, at.service.Name, re.Key),
+		outgoingCall: oc, ha: ha,
+		id:     record.NewID(oc.ex.Team.Name, oc.service.Name, re.Key),
 		digest: record.NewDigest(re.Method, re.Path, re.ContentType, re.Body),
 	}
 	for {
@@ -47,74 +49,80 @@
 	}
 }
 
-// run makes the call or finds out what became of it. again means that the
-// first call was withdrawn without having been sent.
+// run sends the call, or returns the outcome of an earlier call with the same
+// key. again means that the earlier call was withdrawn without having been sent,
+// so that run must be called again.
 func (kc *keyedCall) run() (an endpoint.Response, again bool, err error) {
-	gr, err := kc.ha.acquire(kc.ex.Context, kc.attempt)
+	gr, err := kc.ha.acquire(kc.ex.Context, kc.outgoingCall)
 	if err != nil {
 		return kc.withoutPlace(err)
 	}
 	cl, err := kc.ha.Book.Begin(kc.ex.Context, kc.id, kc.digest, kc.ex.Deadline)
 	if err != nil {
-		kc.ha.giveBack(gr)
+		kc.ha.releaseUnused(gr)
 		return an, false, refusal.Wrap(refusal.NoRecord, "the call could not be recorded, so it was not sent", err)
 	}
 	if !cl.Own {
-		kc.ha.giveBack(gr)
-		return kc.resend(cl)
+		kc.ha.releaseUnused(gr)
+		return kc.answerResend(cl)
 	}
-	an, err = kc.own(cl, gr)
+	an, err = kc.dispatch(cl, gr)
 	return an, false, err
 }
 
-// withoutPlace answers a resend from the record also where a new call would
-// get no place.
+// withoutPlace handles a call that got no place at an endpoint. A resend of a
+// recorded call is still answered from the record, and any other call is refused
+// with cause.
 func (kc *keyedCall) withoutPlace(cause error) (endpoint.Response, bool, error) {
 	cl, err := kc.ha.Book.Find(kc.ex.Context, kc.id)
 	if err != nil || !cl.Found {
 		return endpoint.Response{}, false, cause
 	}
-	return kc.resend(cl)
+	return kc.answerResend(cl)
 }
 
-// own sends a call that this request has begun and records what comes of it.
-func (kc *keyedCall) own(cl record.Claim, gr *admission.Grant) (endpoint.Response, error) {
-	an, sent, err := kc.ha.sendOnce(kc.attempt, gr, func() error { return kc.mayDispatch(cl) })
+// dispatch sends a call whose record entry this request created, and records
+// the outcome. If no endpoint can have received the call, the entry is withdrawn.
+func (kc *keyedCall) dispatch(cl record.Claim, gr *admission.Grant) (endpoint.Response, error) {
+	an, sent, err := kc.ha.sendOnce(kc.outgoingCall, gr, func() error { return kc.checkDispatch(cl) })
 	if !sent {
 		kc.ha.count(withdrawn)
 		kc.ha.Book.Withdraw(cl)
 		return an, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), recordWait)
+	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	unrecorded := error(nil)
 	if err == nil {
-		unrecorded = kc.ha.Book.Answer(ctx, cl, kept(an))
+		unrecorded = kc.ha.Book.Answer(ctx, cl, recordedAnswer(an))
 	} else {
 		unrecorded = kc.ha.Book.Lose(ctx, cl)
 	}
 	if unrecorded != nil {
-		// The caller learns the outcome all the same. A resend waits for the
-		// record and learns at worst that the outcome is unknown.
+		// The caller still gets the outcome. A resend waits until the outcome is
+		// recorded, and is told that it is unknown if that does not happen.
 		kc.ha.count(outcomeUnrecorded)
-		kc.ha.Log.Warn().Err(unrecorded).Msg("call: outcome not recorded yet")
+		kc.ha.Log.Warn().Err(unrecorded).Msg("call: outcome not recorded; a resend may be told that it is unknown")
 	}
 	return an, err
 }
 
-// mayDispatch looks at the claim once more if time has passed since it was got.
-func (kc *keyedCall) mayDispatch(cl record.Claim) error {
-	if err := kc.ha.inTime(kc.attempt); err != nil {
+// checkDispatch returns a refusal if the deadline has passed or the claim is no
+// longer valid. Confirm reads the record again only if the claim is old.
+func (kc *keyedCall) checkDispatch(cl record.Claim) error {
+	if err := kc.ha.checkDeadline(kc.outgoingCall); err != nil {
 		return err
 	}
 	if err := kc.ha.Book.Confirm(kc.ex.Context, cl); err != nil {
 		return refusal.Wrap(refusal.NoRecord, "the record of the call no longer stands, so it was not sent", err)
 	}
-	return kc.ha.inTime(kc.attempt)
+	return kc.ha.checkDeadline(kc.outgoingCall)
 }
 
-// resend answers a request whose key the record knows.
-func (kc *keyedCall) resend(cl record.Claim) (an endpoint.Response, again bool, err error) {
+// answerResend answers a request whose key is already recorded. If the first
+// call is still in flight, it waits for the outcome until shortly before the
+// deadline. again is as for run.
+func (kc *keyedCall) answerResend(cl record.Claim) (an endpoint.Response, again bool, err error) {
 	if cl.Entry.Digest != kc.digest {
 		return an, false, refusal.New(refusal.KeyReused, "the Idempotency-Key was used for another request; use a new one")
 	}
@@ -128,13 +136,13 @@
 		return an, true, nil
 	}
 	if cl.Entry.Digest != kc.digest {
-		return kc.resend(cl)
+		return kc.answerResend(cl)
 	}
 	an, err = kc.outcome(cl.Entry)
 	return an, false, err
 }
 
-// outcome returns the kept answer, or a refusal that says what is known.
+// outcome returns the recorded response, or a refusal if there is none.
 func (kc *keyedCall) outcome(en record.Entry) (endpoint.Response, error) {
 	switch {
 	case en.State == record.Begun:
@@ -151,6 +159,6 @@
 	}, nil
 }
 
-func kept(an endpoint.Response) record.Answer {
+func recordedAnswer(an endpoint.Response) record.Answer {
 	return record.Answer{Status: an.Status, ContentType: an.ContentType, Headers: an.Headers, Body: an.Body}
 }
--- a/internal/call/pause_test.go
+++ b/internal/call/pause_test.go
@@ -9,120 +9,125 @@
 	"filbertstall.example/filbertstall/internal/refusal"
 )
 
-// afterUpdate is the boundary behind the first write of an instance.
-const afterUpdate = 4
+// afterFirstUpdate is the number of the boundary after the first write of an
+// instance.
+const afterFirstUpdate = 4
 
-// settle is enough for everything that was left to be written.
-const settle = 15 * time.Minute
+// settleTime is long enough for all pending writes to finish or give up.
+const settleTime = 15 * time.Minute
 
-// A process is paused after its begin took effect. Meanwhile the platform is
-// restored from a copy without the entry, and the caller's resend runs.
+// Scenario: an instance is paused after its entry was written. Meanwhile the
+// platform is restored from a copy without the entry, and the caller's resend
+// runs at another instance. The paused instance must not send the call as well.
 func TestPausedInstanceDoesNotSendOnALostEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(settle)
-		wo := newWorld(2)
-		empty := wo.store.Copy()
-		wo.instances[0].pauseAt, wo.instances[0].pauseFor = afterUpdate, 5*time.Second
-		first := make(chan seen)
-		go func() { first <- wo.instances[0].post("a0", "k", "loan", time.Minute) }()
+		defer time.Sleep(settleTime)
+		fl := newFleet(2)
+		empty := fl.store.Copy()
+		fl.instances[0].pauseAt, fl.instances[0].pauseFor = afterFirstUpdate, 5*time.Second
+		first := make(chan observation)
+		go func() { first <- fl.instances[0].post("a0", "k", "loan", time.Minute) }()
 		time.Sleep(time.Second)
-		wo.store.Restore(empty)
-		resend := wo.instances[1].post("a1", "k", "loan", time.Minute)
+		fl.store.Restore(empty)
+		resend := fl.instances[1].post("a1", "k", "loan", time.Minute)
 		if resend.refused != nil {
 			t.Fatalf("resend was refused: %v", resend.refused)
 		}
-		sn := <-first
-		if sn.refused == nil || sn.refused.Reason != refusal.NoRecord {
-			t.Errorf("the paused instance answered %+v", sn)
+		ob := <-first
+		if ob.refused == nil || ob.refused.Reason != refusal.NoRecord {
+			t.Errorf("the paused instance answered %+v", ob)
 		}
-		if runs := wo.desk.history()["k"]; len(runs) != 1 {
-			t.Errorf("begun %d times", len(runs))
+		if runs := fl.endpoints.history()["k"]; len(runs) != 1 {
+			t.Errorf("the call was begun %d times, want 1", len(runs))
 		}
 	})
 }
 
-// A begin takes effect, its answer is lost, and the platform stays away until
-// the caller is refused. The refusal says that nothing ran, so a resend must
-// run once the platform is back.
+// Scenario: the write of an entry takes effect, its response is lost, and the
+// platform is unavailable until the caller is refused. The refusal says that
+// the call did not run, so a resend must run once the platform is available.
 func TestGivenUpBeginIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(settle)
-		wo := newWorld(2)
-		in := wo.instances[0]
+		defer time.Sleep(settleTime)
+		fl := newFleet(2)
+		in := fl.instances[0]
 		in.link.SetFault(platformfake.LoseAnswers)
-		time.AfterFunc(4*hop, func() { in.link.SetFault(platformfake.Down) })
-		sn := in.post("a0", "k", "loan", 10*time.Second)
-		if sn.refused == nil || sn.refused.Rule().Outcome != refusal.NotRun {
-			t.Fatalf("without a record the call got %+v", sn)
+		time.AfterFunc(4*messageDelay, func() { in.link.SetFault(platformfake.Down) })
+		ob := in.post("a0", "k", "loan", 10*time.Second)
+		if ob.refused == nil || ob.refused.Rule().Outcome != refusal.NotRun {
+			t.Fatalf("without a record the call got %+v", ob)
 		}
-		if len(wo.store.Copy()) == 0 {
-			t.Fatal("the begin did not take effect, so nothing is shown")
+		if len(fl.store.Copy()) == 0 {
+			t.Fatal("the entry was not written, so the test does not cover its case")
 		}
 		in.link.SetFault(platformfake.None)
 		time.Sleep(time.Second)
-		if resend := wo.instances[1].post("a1", "k", "loan", time.Minute); resend.refused != nil {
+		if resend := fl.instances[1].post("a1", "k", "loan", time.Minute); resend.refused != nil {
 			t.Errorf("resend was refused: %v", resend.refused)
 		}
 	})
 }
 
-// A resend at another instance while the call runs waits for its answer.
+// Scenario: a resend arrives at another instance while the call is in flight. It
+// waits and gets the answer of the first call.
 func TestResendWaitsForTheAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(settle)
-		wo := newWorld(2)
-		wo.setDesk(deskURL(0), deskSlow)
-		wo.setDesk(deskURL(1), deskSlow)
-		first := make(chan seen)
-		go func() { first <- wo.instances[0].post("a0", "k", "loan", time.Minute) }()
+		defer time.Sleep(settleTime)
+		fl := newFleet(2)
+		fl.setMode(endpointURL(0), endpointSlow)
+		fl.setMode(endpointURL(1), endpointSlow)
+		first := make(chan observation)
+		go func() { first <- fl.instances[0].post("a0", "k", "loan", time.Minute) }()
 		time.Sleep(slowTime / 3)
-		impatient := wo.instances[1].post("a1", "k", "loan", slowTime/3)
-		if impatient.refused == nil || impatient.refused.Reason != refusal.InProgress {
-			t.Errorf("a resend with little time got %+v", impatient)
+		shortDeadline := fl.instances[1].post("a1", "k", "loan", slowTime/3)
+		if shortDeadline.refused == nil || shortDeadline.refused.Reason != refusal.InProgress {
+			t.Errorf("a resend with a short deadline got %+v", shortDeadline)
 		}
-		resend := wo.instances[1].post("a2", "k", "loan", time.Minute)
-		if sn := <-first; sn.refused != nil || resend.answer != sn.answer || resend.status != sn.status {
-			t.Errorf("first %+v, resend %+v", sn, resend)
+		resend := fl.instances[1].post("a2", "k", "loan", time.Minute)
+		if ob := <-first; ob.refused != nil || resend.answer != ob.answer || resend.status != ob.status {
+			t.Errorf("first %+v, resend %+v", ob, resend)
 		}
 	})
 }
 
-// A call without a key is sent once also when its answer is lost.
+// Scenario: the response of a call without an Idempotency-Key is lost. The call
+// must not be sent again.
 func TestWithoutKeyIsSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(settle)
-		wo := newWorld(1)
-		wo.setDesk(deskURL(0), deskLoses)
-		wo.setDesk(deskURL(1), deskLoses)
-		sn := wo.instances[0].post("a0", "", "loan", time.Minute)
-		if sn.refused == nil || sn.refused.Rule().Outcome != refusal.Unknown {
-			t.Errorf("a lost answer is told as %+v", sn)
+		defer time.Sleep(settleTime)
+		fl := newFleet(1)
+		fl.setMode(endpointURL(0), endpointLosesResponses)
+		fl.setMode(endpointURL(1), endpointLosesResponses)
+		ob := fl.instances[0].post("a0", "", "loan", time.Minute)
+		if ob.refused == nil || ob.refused.Rule().Outcome != refusal.Unknown {
+			t.Errorf("after a lost response the call got %+v", ob)
 		}
-		if runs := wo.desk.history()[""]; len(runs) != 1 {
-			t.Errorf("begun %d times", len(runs))
+		if runs := fl.endpoints.history()[""]; len(runs) != 1 {
+			t.Errorf("the call was begun %d times, want 1", len(runs))
 		}
 	})
 }
 
-// A call that is declared idempotent is made again elsewhere. If all tries
-// fail, the refusal admits that one was sent.
+// Scenario: an endpoint loses the response of an idempotent call. The call is
+// retried at the other endpoint. If all attempts fail, the refusal says that the
+// outcome is unknown, since one of them was sent.
 func TestIdempotentCallIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(settle)
-		wo := newWorld(1)
-		wo.setDesk(deskURL(0), deskLoses)
-		lookup := func(attempt string) seen {
-			return wo.instances[0].request("GET", "/catalogue/7", attempt, "", "", time.Minute)
+		defer time.Sleep(settleTime)
+		fl := newFleet(1)
+		fl.setMode(endpointURL(0), endpointLosesResponses)
+		lookup := func(attempt string) observation {
+			return fl.instances[0].request("GET", "/catalogue/7", attempt, "", "", time.Minute)
 		}
-		if sn := lookup("a0"); sn.refused != nil {
-			t.Errorf("with one endpoint well the lookup was refused: %v", sn.refused)
+		if ob := lookup("a0"); ob.refused != nil {
+			t.Errorf("with one healthy endpoint the lookup was refused: %v", ob.refused)
 		}
-		if runs := wo.desk.history()[""]; len(runs) != 2 {
-			t.Errorf("tried %d times", len(runs))
+		if runs := fl.endpoints.history()[""]; len(runs) != 2 {
+			t.Errorf("the call was tried %d times, want 2", len(runs))
 		}
-		wo.setDesk(deskURL(1), deskDown)
-		if sn := lookup("a1"); sn.refused == nil || sn.refused.Rule().Outcome != refusal.Unknown {
-			t.Errorf("after a lost answer the lookup got %+v", sn)
+		fl.setMode(endpointURL(1), endpointRefusesConnections)
+		if ob := lookup("a1"); ob.refused == nil || ob.refused.Rule().Outcome != refusal.Unknown {
+			t.Errorf("after a lost response the lookup got %+v", ob)
 		}
 	})
 }
--- a/internal/call/target.go
+++ b/internal/call/target.go
@@ -11,22 +11,23 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// maxKeyBytes bounds an Idempotency-Key.
+// maxKeyBytes is the maximum length of an Idempotency-Key.
 const maxKeyBytes = 255
 
-// target is what a caller's URL names.
+// target is the service, path and query that a caller's URL refers to.
 type target struct {
 	service string
-	// path is the path at the endpoint as the caller wrote it, decoded as the
-	// endpoint may read it.
+	// path is the path at the endpoint with the caller's percent-encoding, and
+	// decoded is the same path after decoding.
 	path, decoded string
 	// query begins with "?" or is empty.
 	query string
 }
 
-// parseTarget splits a URL. The path goes to the endpoint as it was written,
-// so one that may be read in two ways is refused: a route that is declared
-// idempotent must not hide another.
+// parseTarget splits a URL of the form /services/SERVICE/PATH. The path is
+// forwarded to the endpoint without normalization. A path that the endpoint
+// could interpret differently is therefore refused, since otherwise a request
+// could match an idempotent route here and run another route at the endpoint.
 func parseTarget(uri *fasthttp.URI) (target, error) {
 	raw := string(uri.PathOriginal())
 	decoded, err := url.PathUnescape(raw)
@@ -44,13 +45,14 @@
 	return ta, nil
 }
 
-// idempotent tells whether the route is declared idempotent however its path
-// is read.
+// idempotent reports whether the route is declared idempotent for both the
+// encoded and the decoded form of the path.
 func (ta target) idempotent(se kind.Service, method string) bool {
 	return se.Idempotent(method, ta.path) && se.Idempotent(method, ta.decoded)
 }
 
-// parseKey reads the Idempotency-Key, empty if there is none.
+// parseKey returns the Idempotency-Key, or an empty string if the request has
+// none.
 func parseKey(header *fasthttp.RequestHeader) (string, error) {
 	keys := header.PeekAll(endpoint.KeyHeader)
 	if len(keys) == 0 {
