--- a/internal/call/keyed.go
+++ b/internal/call/keyed.go
@@ -96,7 +96,7 @@
 	if err == nil {
 		unrecorded = kc.ha.Book.Answer(ctx, cl, recordedAnswer(an))
 	} else {
-		unrecorded = kc.ha.Book.Lose(ctx, cl)
+		unrecorded = kc.ha.Book.MarkLost(ctx, cl)
 	}
 	if unrecorded != nil {
 		// The caller still gets the outcome. A resend waits until the outcome is
--- a/internal/record/book.go
+++ b/internal/record/book.go
@@ -17,65 +17,77 @@
 )
 
 const (
-	// shardCount is the number of objects that changes are written to. It is
-	// part of where an entry is found, so it never changes.
+	// shardCount is the number of objects that changes are written to. It must
+	// never change, because it determines in which object an entry is looked up.
 	shardCount = 2
-	// defaultPace is the time between two writes of an instance to a shard.
-	defaultPace = 100 * time.Millisecond
-	// quietTurns is how many writes to a shard a quiet time saves up.
-	quietTurns = 4
-	// defaultRetention is how long the outcome of a call is known.
+	// defaultWriteInterval is the default of Book.WriteInterval.
+	defaultWriteInterval = 100 * time.Millisecond
+	// writeBurst is the number of writes to a shard that may follow each other
+	// without delay after an idle period.
+	writeBurst = 4
+	// defaultRetention is the default of Book.Retention.
 	defaultRetention = 24 * time.Hour
-	// commitTimeout bounds one try of a write.
+	// commitTimeout is the timeout of one attempt to read and write a shard.
 	commitTimeout = 2 * time.Second
-	// beginTimeout bounds the wait for a call to be recorded.
+	// beginTimeout is the timeout for recording that a call begins, and for
+	// reading an entry.
 	beginTimeout = 5 * time.Second
-	// finishTimeout is how long an instance tries to record an outcome.
+	// finishTimeout is how long an instance keeps trying to record an outcome or
+	// a withdrawal.
 	finishTimeout = 10 * time.Minute
-	// drainTimeout bounds the writing of what is left when Run ends.
+	// drainTimeout is how long Run waits for pending writes after its context
+	// ends.
 	drainTimeout = 5 * time.Second
-	// pollPause and pollPauseMax bound the pauses of Await.
-	pollPause    = 100 * time.Millisecond
-	pollPauseMax = time.Second
+	// minPollInterval and maxPollInterval bound the interval at which Await reads
+	// the entry.
+	minPollInterval = 100 * time.Millisecond
+	maxPollInterval = time.Second
 )
 
-// prefix begins the keys of all objects of the record.
+// prefix is the common prefix of the keys of all stored objects.
 const prefix = "records/"
 
-// Reason is why a write of the record was repeated or did not do all it was to.
+// Reason is the label value of a counter of failed or incomplete writes.
 type Reason string
 
 // The reasons that a Book counts.
 const (
-	// RetryConflict counts writes that met another instance's.
+	// RetryConflict counts writes that conflicted with a write of another
+	// instance.
 	RetryConflict Reason = "conflict"
-	// RetryUnavailable counts writes that the platform did not take.
+	// RetryUnavailable counts reads and writes that failed because the platform
+	// was not available.
 	RetryUnavailable Reason = "unavailable"
-	// RetryUnknown counts writes whose answers were lost.
+	// RetryUnknown counts writes whose response was lost, so that it is not known
+	// whether they took effect.
 	RetryUnknown Reason = "unknown"
-	// RetryCorrupt counts objects that could not be decoded.
+	// RetryCorrupt counts stored objects that could not be decoded.
 	RetryCorrupt Reason = "corrupt"
-	// RefusedFull counts calls that found no room in their shard.
+	// RefusedFull counts changes that were refused because their shard was full.
 	RefusedFull Reason = "full"
-	// SegmentLeft counts segments that nothing may refer to and that stay.
+	// SegmentLeft counts segments that stay in the store although possibly no
+	// page refers to them.
 	SegmentLeft Reason = "segment_left"
 )
 
 var reasons = []Reason{RetryConflict, RetryUnavailable, RetryUnknown, RetryCorrupt, RefusedFull, SegmentLeft}
 
-// Book is the record of calls. Set the fields before the first call; zero
-// durations mean the defaults.
+// Book records calls in the platform. The fields must be set before the first
+// use, and zero durations select the defaults. It is safe for concurrent use.
 type Book struct {
 	Store platform.Store
-	// Instance is this instance's name.
+	// Instance is the name of this instance. It is stored in each entry that the
+	// instance creates.
 	Instance string
 	Clock    clockwork.Clock
 	Log      zerolog.Logger
 	Scope    tally.Scope
-	// Pace is the mean least time between two writes to a shard. It bounds the
-	// writes of a fleet and what batching adds to a call.
-	Pace time.Duration
-	// Retention is how long the outcome of a call is known at least.
+	// WriteInterval is the minimum average interval between two writes of this
+	// instance to a shard. It limits the write rate of the fleet, and the latency
+	// that batching adds to a call. Zero means 100 ms.
+	WriteInterval time.Duration
+	// Retention is how long the outcome of a call is kept at least, counted from
+	// the deadline of the call. Zero means 24 h.
 	Retention time.Duration
 
 	once   sync.Once
@@ -83,7 +95,7 @@
 	events map[Reason]tally.Counter
 }
 
-func newWrite() string {
+func newWriteID() string {
 	var raw [12]byte
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
@@ -91,8 +103,8 @@
 
 func (bk *Book) prepare() {
 	bk.once.Do(func() {
-		if bk.Pace == 0 {
-			bk.Pace = defaultPace
+		if bk.WriteInterval == 0 {
+			bk.WriteInterval = defaultWriteInterval
 		}
 		if bk.Retention == 0 {
 			bk.Retention = defaultRetention
@@ -103,7 +115,7 @@
 		}
 		bk.events = metric.Reasons(scope, "record_events", reasons)
 		for ix := range bk.shards {
-			bk.shards[ix] = &shard{bk: bk, key: fmt.Sprintf("%s%02d", prefix, ix), segments: newSegments()}
+			bk.shards[ix] = &shard{bk: bk, key: fmt.Sprintf("%s%02d", prefix, ix), index: newSegmentIndex()}
 		}
 	})
 }
@@ -123,7 +135,7 @@
 	case platform.IsKind(err, platform.Unknown):
 		re = RetryUnknown
 	default:
-		bk.Log.Error().Err(err).Msg("record: stored object not usable")
+		bk.Log.Error().Err(err).Msg("record: stored object cannot be read or written; retrying until the changes time out")
 	}
 	bk.events[re].Inc(1)
 }
@@ -131,8 +143,8 @@
 // Name implements controller.Controller.
 func (bk *Book) Name() string { return "record" }
 
-// Run reads the record once, so that the first calls find its segments known,
-// and when ctx ends waits for what is left to be written.
+// Run reads all shards and their segments once, so that the first calls do not
+// have to. When ctx ends, it waits up to 5 s for pending writes.
 func (bk *Book) Run(ctx context.Context) error {
 	bk.prepare()
 	for _, sh := range bk.shards {
@@ -155,21 +167,22 @@
 	return false
 }
 
-// Begin records that a call begins, unless it is known already. After an
-// error the call must not be dispatched; if the entry was written after all,
-// it is withdrawn.
+// Begin records that a call begins, unless the call is recorded already. The
+// call may be dispatched only if Own is set in the returned claim. After an error
+// it must not be dispatched, and if the entry was written nevertheless, it is
+// withdrawn.
 func (bk *Book) Begin(ctx context.Context, id, digest Hash, deadline time.Time) (Claim, error) {
 	now := bk.Clock.Now()
 	en := Entry{
-		ID: id, State: Begun, Write: newWrite(), Instance: bk.Instance, Digest: digest,
+		ID: id, State: Begun, Write: newWriteID(), Instance: bk.Instance, Digest: digest,
 		BegunMS: now.UnixMilli(), UntilMS: deadline.UnixMilli(), ExpiresMS: deadline.Add(bk.retention()).UnixMilli(),
 	}
 	until := now.Add(beginTimeout)
 	if deadline.Before(until) {
 		until = deadline
 	}
-	cl, err := bk.ask(ctx, newChange(opBegin, en, until))
-	cl.asked = now
+	cl, err := bk.submitAndWait(ctx, newChange(opBegin, en, until))
+	cl.requestedAt = now
 	return cl, err
 }
 
@@ -178,13 +191,14 @@
 	return bk.Retention
 }
 
-// Find reads what is known of a call.
+// Find reads the entry of a call. Found is false in the returned claim if there
+// is none.
 func (bk *Book) Find(ctx context.Context, id Hash) (Claim, error) {
-	return bk.ask(ctx, newChange(opFind, Entry{ID: id}, bk.Clock.Now().Add(beginTimeout)))
+	return bk.submitAndWait(ctx, newChange(opFind, Entry{ID: id}, bk.Clock.Now().Add(beginTimeout)))
 }
 
-// ask submits a change and waits for its result.
-func (bk *Book) ask(ctx context.Context, ch *change) (Claim, error) {
+// submitAndWait submits a change and waits for its result until ctx ends.
+func (bk *Book) submitAndWait(ctx context.Context, ch *change) (Claim, error) {
 	bk.shard(ch.entry.ID).submit(ch)
 	var re result
 	select {
@@ -198,11 +212,11 @@
 	if re.err != nil || re.sealedIn == "" {
 		return re.claim, re.err
 	}
-	return bk.unseal(ctx, ch, re.sealedIn)
+	return bk.readSealed(ctx, ch, re.sealedIn)
 }
 
-// unseal reads an entry from its segment.
-func (bk *Book) unseal(ctx context.Context, ch *change, key string) (Claim, error) {
+// readSealed reads the entry of a change from the segment with that key.
+func (bk *Book) readSealed(ctx context.Context, ch *change, key string) (Claim, error) {
 	list, err := readSegment(ctx, bk.Store, key)
 	if err != nil {
 		return Claim{}, &Error{Op: string(ch.op), Kind: Unavailable, Err: err}
@@ -215,18 +229,20 @@
 	return Claim{}, &Error{Op: string(ch.op), Kind: Corrupt}
 }
 
-// dispatchWindow is how long after asking for it a claim may be used without
-// another look.
+// dispatchWindow is how long after the call of Begin its claim may be used
+// without reading the entry again.
 const dispatchWindow = time.Second
 
-// Confirm tells whether the owner of a claim may still dispatch. A claim that
-// was got within the last second holds. An older one, as after a pause of the
-// process, is read again: it holds if the entry is still there as it was.
+// Confirm returns nil if the owner of a claim may still dispatch the call. A claim
+// that was requested within the last second is valid. The entry of an older one,
+// for example after the process was paused, is read again, and the claim is valid
+// only if the entry is unchanged. Otherwise the error has kind Gone.
 func (bk *Book) Confirm(ctx context.Context, cl Claim) error {
 	now := bk.Clock.Now()
-	// Round strips the monotonic reading: a machine that slept shows in the
-	// wall clock, a stepped wall clock in the monotonic one.
-	elapsed := max(now.Sub(cl.asked), now.Round(0).Sub(cl.asked.Round(0)))
+	// Round strips the monotonic clock reading. The larger of the two intervals
+	// is used, because the monotonic clock may stop while the machine is suspended
+	// and the wall clock may be set back.
+	elapsed := max(now.Sub(cl.requestedAt), now.Round(0).Sub(cl.requestedAt.Round(0)))
 	if elapsed <= dispatchWindow {
 		return nil
 	}
@@ -241,39 +257,42 @@
 	return nil
 }
 
-// Answer records the answer of a call that this instance began. It waits
-// until it is written or ctx ends; the writing goes on after that.
+// Answer records the answer of a call that this instance began. It returns when
+// the answer is written or ctx ends. In the latter case the book keeps trying to
+// write it for up to 10 minutes.
 func (bk *Book) Answer(ctx context.Context, cl Claim, an Answer) error {
 	ch := newChange(opAnswer, cl.Entry, bk.Clock.Now().Add(finishTimeout))
 	ch.answer = an
-	_, err := bk.ask(ctx, ch)
+	_, err := bk.submitAndWait(ctx, ch)
 	return err
 }
 
-// Lose records that the answer of a call will not come, as Answer does.
-func (bk *Book) Lose(ctx context.Context, cl Claim) error {
-	_, err := bk.ask(ctx, newChange(opLose, cl.Entry, bk.Clock.Now().Add(finishTimeout)))
+// MarkLost records that the call may have run and that its answer is lost. It waits
+// and retries as Answer does.
+func (bk *Book) MarkLost(ctx context.Context, cl Claim) error {
+	_, err := bk.submitAndWait(ctx, newChange(opLose, cl.Entry, bk.Clock.Now().Add(finishTimeout)))
 	return err
 }
 
-// Withdraw removes the entry of a call that this instance began, never
-// dispatched and never will. It does not wait.
+// Withdraw removes the entry of a call that this instance began but has not
+// dispatched and will not dispatch. It returns immediately and retries in the
+// background.
 func (bk *Book) Withdraw(cl Claim) {
 	bk.shard(cl.Entry.ID).submit(newChange(opWithdraw, cl.Entry, bk.Clock.Now().Add(finishTimeout)))
 }
 
-// Await reads a call that another instance began until it has an outcome, is
-// withdrawn, or its owner's time is over. When ctx ends it returns what was
-// known last.
+// Await polls the entry of a call that another request began until the call has
+// an outcome, is withdrawn, or is abandoned. When ctx ends, it returns the claim
+// that was read last.
 func (bk *Book) Await(ctx context.Context, cl Claim) Claim {
-	pause := pollPause
+	pause := minPollInterval
 	for cl.Found && cl.Entry.State == Begun && !cl.Entry.Abandoned(bk.Clock.Now()) {
 		select {
 		case <-bk.Clock.After(pause):
 		case <-ctx.Done():
 			return cl
 		}
-		pause = min(pause*3/2, pollPauseMax)
+		pause = min(pause*3/2, maxPollInterval)
 		if next, err := bk.Find(ctx, cl.Entry.ID); err == nil {
 			cl = next
 		}
--- a/internal/record/change.go
+++ b/internal/record/change.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// operation is what a change does.
+// operation is the type of a change.
 type operation string
 
 const (
@@ -18,45 +18,48 @@
 
 // Claim is the result of Begin or Find.
 type Claim struct {
-	// Own means that this Begin created the entry: its caller may dispatch.
+	// Own means that this Begin created the entry, so that its caller may
+	// dispatch the call.
 	Own bool
 	// Found means that Entry is set.
 	Found bool
 	Entry Entry
-	// asked is when the write was asked for, by the local clock.
-	asked time.Time
+	// requestedAt is the local time at which Begin was called.
+	requestedAt time.Time
 }
 
-// change is one wish about one entry. The shard applies it as often as it
-// takes until a conditional update with it is acknowledged, so applying is
-// idempotent by the entry's write id.
+// change is a requested operation on one entry. The shard applies it again until
+// a conditional update that contains it is acknowledged. Applying is therefore
+// idempotent, based on the write ID of the entry.
 type change struct {
 	op     operation
 	entry  Entry
 	answer Answer
-	// until is when the shard gives up.
-	until time.Time
-	// attempted means that a write with the change may have been sent.
+	// deadline is the time at which the shard gives up.
+	deadline time.Time
+	// attempted means that a write that contains the change may have been sent.
 	attempted bool
-	// settled is set by whoever comes first: the shard with a result, or the
-	// owner giving up.
+	// settled is set once, either by the shard when it has a result or by the
+	// owner when it stops waiting.
 	settled atomic.Bool
 	result  chan result
 }
 
-// result is what became of a change.
+// result is the result of a change.
 type result struct {
 	claim Claim
-	// sealedIn is the segment that holds the entry, if it is not in the page.
+	// sealedIn is the key of the segment that holds the entry. It is empty if
+	// the entry is in the page or does not exist.
 	sealedIn string
 	err      error
 }
 
 func newChange(op operation, en Entry, until time.Time) *change {
-	return &change{op: op, entry: en, until: until, result: make(chan result, 1)}
+	return &change{op: op, entry: en, deadline: until, result: make(chan result, 1)}
 }
 
-// settle hands over the result and tells whether the owner still wants it.
+// settle delivers the result and reports whether the owner was still waiting
+// for it.
 func (ch *change) settle(re result) bool {
 	if !ch.settled.CompareAndSwap(false, true) {
 		return false
@@ -65,11 +68,13 @@
 	return true
 }
 
-// abandon gives the change up and tells whether no result had come before.
+// abandon stops waiting for the change. It returns false if a result has been
+// delivered already.
 func (ch *change) abandon() bool { return ch.settled.CompareAndSwap(false, true) }
 
-// apply makes the change in the page and returns its result if the page is
-// written, and whether the page differs. sealed finds entries in segments.
+// apply applies the change to the page. It returns the result, which holds only
+// once the page is written, and whether the page must be written. sealed looks up
+// the key of the segment that holds an entry.
 func (ch *change) apply(pg *page, sealed func(Hash) (string, bool), now time.Time) (result, bool) {
 	current, found := pg.get(ch.entry.ID)
 	if found && current.expired(now) {
@@ -80,11 +85,11 @@
 			own := ch.op == opBegin && current.State == Begun && current.Write == ch.entry.Write
 			return result{claim: Claim{Own: own, Found: true, Entry: current}}, false
 		}
-		return ch.applyAbsent(pg, sealed)
+		return ch.applyToMissing(pg, sealed)
 	}
 	if ch.op == opWithdraw && !found {
-		// A begin on its way is based on this version of the page. Writing the
-		// page makes it conflict.
+		// A begin that is still in flight is conditional on this version of the
+		// page. Writing the page makes that begin fail with a conflict.
 		return result{}, true
 	}
 	if !found || current.Write != ch.entry.Write {
@@ -93,25 +98,26 @@
 	if current.State != Begun {
 		return result{claim: Claim{Found: true, Entry: current}}, false
 	}
-	return ch.applyEnd(pg, current)
+	return ch.applyOutcome(pg, current)
 }
 
-// applyAbsent begins or finds a call that is not in the page itself.
-func (ch *change) applyAbsent(pg *page, sealed func(Hash) (string, bool)) (result, bool) {
+// applyToMissing applies a begin or find of a call that is not in the page.
+func (ch *change) applyToMissing(pg *page, sealed func(Hash) (string, bool)) (result, bool) {
 	if key, moved := sealed(ch.entry.ID); moved {
 		return result{sealedIn: key}, false
 	}
 	if ch.op == opFind {
 		return result{}, false
 	}
-	if len(pg.Segments) >= maxSegments || pg.bytes > beginBytes || !pg.put(ch.entry) {
+	if len(pg.Segments) >= maxSegments || pg.bytes > maxBytesForBegin || !pg.put(ch.entry) {
 		return result{err: &Error{Op: string(ch.op), Kind: Full}}, false
 	}
 	return result{claim: Claim{Own: true, Found: true, Entry: ch.entry}}, true
 }
 
-// applyEnd ends an entry that its owner had begun.
-func (ch *change) applyEnd(pg *page, current Entry) (result, bool) {
+// applyOutcome applies an answer, a loss or a withdrawal to an entry in state
+// Begun.
+func (ch *change) applyOutcome(pg *page, current Entry) (result, bool) {
 	next := current.WithLost()
 	switch ch.op {
 	case opWithdraw:
--- a/internal/record/error.go
+++ b/internal/record/error.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrorKind says why something was not recorded.
+// ErrorKind classifies why a change was not recorded.
 type ErrorKind string
 
 // The kinds of error that this package reports.
@@ -14,18 +14,19 @@
 	Unavailable ErrorKind = "unavailable"
 	// Full means that the shard has no room for another entry.
 	Full ErrorKind = "full"
-	// Corrupt means that a stored object is not what this package writes.
+	// Corrupt means that a stored object cannot be decoded or is not consistent.
 	Corrupt ErrorKind = "corrupt"
-	// Gone means that the entry is no longer there or no longer its owner's.
+	// Gone means that the entry no longer exists, or was written by another
+	// owner.
 	Gone ErrorKind = "gone"
 )
 
 // Error is the error type of this package.
 type Error struct {
-	// Op is the change, for example "begin".
+	// Op is the operation that failed, for example "begin".
 	Op   string
 	Kind ErrorKind
-	// Err is the cause, or nil.
+	// Err is the cause. It may be nil.
 	Err error
 }
 
@@ -40,7 +41,7 @@
 // Unwrap returns the cause.
 func (er *Error) Unwrap() error { return er.Err }
 
-// IsKind tells whether err is a record error of that kind.
+// IsKind reports whether err is or wraps an *Error of that kind.
 func IsKind(err error, ki ErrorKind) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Kind == ki
--- a/internal/record/page.go
+++ b/internal/record/page.go
@@ -7,38 +7,42 @@
 )
 
 const (
-	// pageBytes bounds the object that a shard's changes rewrite.
-	pageBytes = 512 << 10
-	// beginBytes is the size above which no call begins, so that those under
-	// way find room for their answers.
-	beginBytes = 320 << 10
-	// batchBytes is the size above which answers wait for the next write.
-	batchBytes = 384 << 10
-	// sealBytes is the size at which finished entries move to a segment.
-	sealBytes = 128 << 10
-	// maxSegments bounds the list of segments in a page.
+	// maxPageBytes is the maximum size of a page, which each write of a shard
+	// rewrites.
+	maxPageBytes = 512 << 10
+	// maxBytesForBegin is the page size above which new calls are refused. The
+	// rest is reserved for the answers of calls in flight.
+	maxBytesForBegin = 320 << 10
+	// maxBytesForAnswer is the page size above which answers are deferred to the
+	// next write.
+	maxBytesForAnswer = 384 << 10
+	// sealThresholdBytes is the page size from which finished entries are moved
+	// to a segment.
+	sealThresholdBytes = 128 << 10
+	// maxSegments is the maximum number of segments that a page refers to.
 	maxSegments = 1024
 	// segmentRefBytes is the encoded size of a reference to a segment.
 	segmentRefBytes = 96
-	// pageFormat is the version of the encoding.
+	// pageFormat is the version of the encoding of pages and segments.
 	pageFormat = 1
 )
 
-// segmentRef names an immutable object with finished entries.
+// segmentRef refers to an immutable object that holds finished entries.
 type segmentRef struct {
 	Key string `json:"key"`
-	// Version is the object's version, for its removal.
+	// Version is the object's version, which Delete requires.
 	Version int64 `json:"version"`
-	// ExpiresMS is when the last of its entries may go.
+	// ExpiresMS is the Unix time in milliseconds at which the last of its
+	// entries expires.
 	ExpiresMS int64 `json:"expires_ms"`
 }
 
-// page is the content of a shard's object: calls under way, those finished a
-// short while ago, and where the others are.
+// page is the content of a shard's object: the calls in flight, the calls that
+// finished recently, and references to the segments that hold older ones.
 type page struct {
 	Format int `json:"format"`
-	// Write is unique to each written version, so that a lost answer can be
-	// told from a lost write.
+	// Write is unique to each written version. It distinguishes a write whose
+	// response was lost from a write that did not take effect.
 	Write    string       `json:"write"`
 	Entries  []Entry      `json:"entries"`
 	Segments []segmentRef `json:"segments,omitempty"`
@@ -47,7 +51,7 @@
 	bytes int
 }
 
-// decodePage decodes a shard's object; no data is an empty page.
+// decodePage decodes a shard's object. It returns an empty page for empty data.
 func decodePage(data []byte) (*page, error) {
 	pg := &page{Format: pageFormat}
 	if len(data) > 0 {
@@ -71,7 +75,7 @@
 	}
 }
 
-// get returns the entry of a call that is in the page itself.
+// get returns the entry of a call if it is in the page and not in a segment.
 func (pg *page) get(id Hash) (Entry, bool) {
 	ix, found := pg.index[id]
 	if !found {
@@ -80,14 +84,14 @@
 	return pg.Entries[ix], true
 }
 
-// put adds or replaces an entry and tells whether there was room for it.
+// put adds or replaces an entry. It returns false if the page has no room for it.
 func (pg *page) put(en Entry) bool {
 	ix, found := pg.index[en.ID]
 	grown := pg.bytes + en.size()
 	if found {
 		grown -= pg.Entries[ix].size()
 	}
-	if grown > pageBytes {
+	if grown > maxPageBytes {
 		return false
 	}
 	pg.bytes = grown
@@ -100,29 +104,29 @@
 	return true
 }
 
-// remove takes entries out for good.
-func (pg *page) remove(gone func(Entry) bool) {
-	pg.Entries = slices.DeleteFunc(pg.Entries, gone)
+// remove removes all entries that match.
+func (pg *page) remove(match func(Entry) bool) {
+	pg.Entries = slices.DeleteFunc(pg.Entries, match)
 	pg.reindex()
 }
 
-// expire drops what need no longer be known and returns the segments that
-// nothing refers to any more.
+// expire removes expired entries and expired references to segments. It returns
+// the removed references, whose segments can be deleted once the page is written.
 func (pg *page) expire(now time.Time) []segmentRef {
 	var dropped []segmentRef
 	pg.Segments = slices.DeleteFunc(pg.Segments, func(re segmentRef) bool {
-		over := now.UnixMilli() > re.ExpiresMS
-		if over {
+		expired := now.UnixMilli() > re.ExpiresMS
+		if expired {
 			dropped = append(dropped, re)
 		}
-		return over
+		return expired
 	})
 	pg.remove(func(en Entry) bool { return en.expired(now) })
 	return dropped
 }
 
-// finished returns the entries that can no longer change; those whose owner's
-// time is over become lost.
+// finished returns the entries that can no longer change. Abandoned entries are
+// included in state Lost.
 func (pg *page) finished(now time.Time) []Entry {
 	var list []Entry
 	for _, en := range pg.Entries {
@@ -136,7 +140,7 @@
 	return list
 }
 
-// encode returns the page as JSON under a new write id.
+// encode returns the page as JSON with a new write ID.
 func (pg *page) encode(write string) ([]byte, error) {
 	pg.Write = write
 	return json.Marshal(pg)
--- a/internal/record/segment.go
+++ b/internal/record/segment.go
@@ -12,7 +12,7 @@
 	"filbertstall.example/filbertstall/internal/platform"
 )
 
-// loadParallel bounds the segments that are read at the same time.
+// loadParallel is the maximum number of segments that are read concurrently.
 const loadParallel = 8
 
 // segment is the content of an immutable object with finished entries.
@@ -32,37 +32,38 @@
 	return se, nil
 }
 
-// segments knows which calls are in which segment of a shard.
-type segments struct {
-	known map[string][]Hash
-	calls map[Hash]string
+// segmentIndex is the in-memory index of which segment of a shard holds which
+// calls.
+type segmentIndex struct {
+	callsByKey map[string][]Hash
+	keyByCall  map[Hash]string
 }
 
-func newSegments() *segments {
-	return &segments{known: make(map[string][]Hash), calls: make(map[Hash]string)}
+func newSegmentIndex() *segmentIndex {
+	return &segmentIndex{callsByKey: make(map[string][]Hash), keyByCall: make(map[Hash]string)}
 }
 
 // find returns the key of the segment that holds the call.
-func (se *segments) find(id Hash) (string, bool) {
-	key, found := se.calls[id]
+func (si *segmentIndex) find(id Hash) (string, bool) {
+	key, found := si.keyByCall[id]
 	return key, found
 }
 
-// load reads the segments that are not known yet and forgets those that are no
-// longer referred to. What was read stays known if one of them fails, so that
-// the next try has less to do.
-func (se *segments) load(ctx context.Context, st platform.Store, refs []segmentRef) error {
-	referred := make(map[string]bool, len(refs))
+// load reads the segments that are not in the index yet, and removes those that
+// the page no longer refers to. If reading one of them fails, the others stay in
+// the index, so that the next attempt has fewer to read.
+func (si *segmentIndex) load(ctx context.Context, st platform.Store, refs []segmentRef) error {
+	referenced := make(map[string]bool, len(refs))
 	for _, re := range refs {
-		referred[re.Key] = true
+		referenced[re.Key] = true
 	}
-	for key := range se.known {
-		if !referred[key] {
-			se.forget(key)
+	for key := range si.callsByKey {
+		if !referenced[key] {
+			si.remove(key)
 		}
 	}
 	missing := slices.DeleteFunc(slices.Clone(refs), func(re segmentRef) bool {
-		_, known := se.known[re.Key]
+		_, known := si.callsByKey[re.Key]
 		return known
 	})
 	var mu sync.Mutex
@@ -76,34 +77,34 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			se.learn(re.Key, list)
+			si.add(re.Key, list)
 			return nil
 		})
 	}
 	return eg.Wait()
 }
 
-func (se *segments) learn(key string, list []Entry) {
+func (si *segmentIndex) add(key string, list []Entry) {
 	ids := make([]Hash, 0, len(list))
 	for _, en := range list {
 		ids = append(ids, en.ID)
-		se.calls[en.ID] = key
+		si.keyByCall[en.ID] = key
 	}
-	se.known[key] = ids
+	si.callsByKey[key] = ids
 }
 
-func (se *segments) forget(key string) {
-	for _, id := range se.known[key] {
-		if se.calls[id] == key {
-			delete(se.calls, id)
+func (si *segmentIndex) remove(key string) {
+	for _, id := range si.callsByKey[key] {
+		if si.keyByCall[id] == key {
+			delete(si.keyByCall, id)
 		}
 	}
-	delete(se.known, key)
+	delete(si.callsByKey, key)
 }
 
-// drop removes segments that have expired and are no longer referred to. One
-// that can't be removed now is left behind.
-func drop(ctx context.Context, st platform.Store, refs []segmentRef) {
+// deleteSegments deletes segments that no page refers to any more. Errors are
+// ignored, and a segment that could not be deleted stays in the store.
+func deleteSegments(ctx context.Context, st platform.Store, refs []segmentRef) {
 	for _, re := range refs {
 		_ = st.Delete(ctx, re.Key, re.Version)
 	}
@@ -118,53 +119,56 @@
 	return se.Entries, err
 }
 
-// move is a segment that was written and is not yet referred to.
-type move struct {
+// sealedSegment is a segment that has been written and that no written page
+// refers to yet.
+type sealedSegment struct {
 	ref  segmentRef
 	list []Entry
 }
 
-// seal moves finished entries to a new segment if the page has grown large. A
-// segment that can't be written leaves the page as it is.
-func (sh *shard) seal(ctx context.Context, pg *page) *move {
-	if pg.bytes < sealBytes {
+// seal moves finished entries to a new segment if the page is at least
+// sealThresholdBytes large and the finished entries make up at least half of
+// that. It returns nil and leaves the page unchanged otherwise, or if the segment
+// cannot be written.
+func (sh *shard) seal(ctx context.Context, pg *page) *sealedSegment {
+	if pg.bytes < sealThresholdBytes {
 		return nil
 	}
 	list := pg.finished(sh.bk.Clock.Now())
-	mo := &move{list: list, ref: segmentRef{Key: fmt.Sprintf("%s/%s", sh.key, newWrite())}}
+	ss := &sealedSegment{list: list, ref: segmentRef{Key: fmt.Sprintf("%s/%s", sh.key, newWriteID())}}
 	moved := make(map[Hash]bool, len(list))
 	bytes := 0
 	for _, en := range list {
 		moved[en.ID] = true
 		bytes += en.size()
-		mo.ref.ExpiresMS = max(mo.ref.ExpiresMS, en.ExpiresMS)
+		ss.ref.ExpiresMS = max(ss.ref.ExpiresMS, en.ExpiresMS)
 	}
-	if bytes < sealBytes/2 {
+	if bytes < sealThresholdBytes/2 {
 		return nil
 	}
 	data, err := json.Marshal(segment{Format: pageFormat, Entries: list})
 	if err != nil {
 		return nil
 	}
-	if mo.ref.Version, err = sh.bk.Store.Update(ctx, mo.ref.Key, 0, data); err != nil {
+	if ss.ref.Version, err = sh.bk.Store.Update(ctx, ss.ref.Key, 0, data); err != nil {
 		if platform.IsKind(err, platform.Unknown) {
 			sh.bk.events[SegmentLeft].Inc(1)
 		}
 		return nil
 	}
-	pg.Segments = append(pg.Segments, mo.ref)
+	pg.Segments = append(pg.Segments, ss.ref)
 	pg.remove(func(en Entry) bool { return moved[en.ID] })
-	return mo
+	return ss
 }
 
-func (se *segments) add(mo *move) {
-	if mo != nil {
-		se.learn(mo.ref.Key, mo.list)
+func (si *segmentIndex) addSealed(ss *sealedSegment) {
+	if ss != nil {
+		si.add(ss.ref.Key, ss.list)
 	}
 }
 
-func (se *segments) discard(ctx context.Context, st platform.Store, mo *move) {
-	if mo != nil {
-		_ = st.Delete(ctx, mo.ref.Key, mo.ref.Version)
+func (si *segmentIndex) discard(ctx context.Context, st platform.Store, ss *sealedSegment) {
+	if ss != nil {
+		_ = st.Delete(ctx, ss.ref.Key, ss.ref.Version)
 	}
 }
--- a/internal/record/segment_test.go
+++ b/internal/record/segment_test.go
@@ -22,8 +22,8 @@
 
 func id(ix int) record.Hash { return record.NewID("team", "desk", fmt.Sprint(ix)) }
 
-// each runs do for the numbers below total side by side.
-func each(total int, do func(ix int)) {
+// runConcurrently runs do concurrently for each number from 0 to total-1.
+func runConcurrently(total int, do func(ix int)) {
 	var wg sync.WaitGroup
 	for ix := range total {
 		wg.Go(func() { do(ix) })
@@ -35,7 +35,8 @@
 	return bk.Begin(context.Background(), id(ix), record.Hash{1}, time.Now().Add(time.Minute))
 }
 
-// checkSizes fails on an object that the platform would not take.
+// checkSizes fails the test if an object is larger than three quarters of the
+// size that the platform accepts.
 func checkSizes(t *testing.T, st *platformfake.Store) {
 	for key, ob := range st.Copy() {
 		if len(ob.Value) > platform.MaxValueBytes*3/4 {
@@ -53,8 +54,8 @@
 	return total
 }
 
-// Answers that have moved to segments are found by the instance that moved
-// them, by one that was running, and by one that starts later.
+// Scenario: answers are moved to segments. They must be found by the instance
+// that moved them, by another running instance, and by one that starts later.
 func TestAnswersAreFoundInSegments(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const calls, rounds, sample = 150, 8, 24
@@ -64,7 +65,7 @@
 			return record.Answer{Status: 200, Body: []byte(fmt.Sprintf("%d%s", ix, strings.Repeat(".", 600)))}
 		}
 		for round := range rounds {
-			each(calls, func(ix int) {
+			runConcurrently(calls, func(ix int) {
 				ix += round * calls
 				cl, err := begin(writer, ix)
 				if err != nil || !cl.Own || writer.Answer(context.Background(), cl, answer(ix)) != nil {
@@ -73,11 +74,11 @@
 			})
 		}
 		if countSegments(st) < 2 {
-			t.Fatalf("%d segments, so nothing is shown", countSegments(st))
+			t.Fatalf("%d segments, want at least 2", countSegments(st))
 		}
 		checkSizes(t, st)
 		for _, bk := range []*record.Book{writer, bystander, newBook(st, "entry-2")} {
-			each(sample, func(ix int) {
+			runConcurrently(sample, func(ix int) {
 				ix *= rounds * calls / sample
 				cl, err := begin(bk, ix)
 				if err != nil || cl.Own || cl.Entry.Answer == nil || string(cl.Entry.Answer.Body) != string(answer(ix).Body) {
@@ -88,13 +89,14 @@
 	})
 }
 
-// Entries go after their retention, and with them the segments.
+// Scenario: the retention of entries passes. The entries must be removed, and
+// with them their segments.
 func TestEntriesExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := platformfake.New()
 		bk := newBook(st, "entry-0")
 		for round := range 3 {
-			each(200, func(ix int) {
+			runConcurrently(200, func(ix int) {
 				cl, _ := begin(bk, round*200+ix)
 				_ = bk.Answer(context.Background(), cl, record.Answer{Status: 200, Body: make([]byte, 800)})
 			})
@@ -102,14 +104,14 @@
 		before := countSegments(st)
 		time.Sleep(23 * time.Hour)
 		if cl, err := begin(bk, 0); err != nil || cl.Own {
-			t.Errorf("within the retention the key was free: %v", err)
+			t.Errorf("a key could be used again within the retention: %v", err)
 		}
 		time.Sleep(2 * time.Hour)
-		// Any write to a shard lets it drop what has expired.
-		each(64, func(ix int) {
+		// Expired entries and segments are removed with the next write to a shard.
+		runConcurrently(64, func(ix int) {
 			cl, err := begin(bk, ix)
 			if err != nil || !cl.Own {
-				t.Errorf("after the retention key %d was not free: %v", ix, err)
+				t.Errorf("key %d could not be used again after the retention: %v", ix, err)
 			}
 		})
 		if after := countSegments(st); before == 0 || after != 0 {
@@ -118,8 +120,8 @@
 	})
 }
 
-// A shard that is full of calls under way takes no more, stays below the
-// platform's limit, and still takes the outcomes.
+// Scenario: a shard is full of calls in flight. It must refuse further calls,
+// stay below the size limit of the platform, and still record the outcomes.
 func TestFullShardRefusesAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const calls = 2600
@@ -128,7 +130,7 @@
 		var mu sync.Mutex
 		var own []record.Claim
 		full := 0
-		each(calls, func(ix int) {
+		runConcurrently(calls, func(ix int) {
 			cl, err := begin(bk, ix)
 			mu.Lock()
 			defer mu.Unlock()
@@ -142,19 +144,20 @@
 			t.Fatalf("%d begun and %d refused as full", len(own), full)
 		}
 		checkSizes(t, st)
-		each(len(own), func(ix int) {
+		runConcurrently(len(own), func(ix int) {
 			if err := bk.Answer(context.Background(), own[ix], record.Answer{Status: 200, Body: make([]byte, 4096)}); err != nil {
 				t.Errorf("outcome not recorded: %v", err)
 			}
 		})
 		checkSizes(t, st)
 		if cl, err := begin(bk, calls); err != nil || !cl.Own {
-			t.Errorf("no call begins after the shard has emptied: %v", err)
+			t.Errorf("no call can begin although the outcomes were recorded: %v", err)
 		}
 	})
 }
 
-// An object that this version can't read lets no call begin.
+// Scenario: a stored object cannot be decoded by this version. No call may begin
+// in that shard.
 func TestUnreadableRecordLetsNothingBegin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, value := range []string{`{"format":2}`, `{"format":1,"entries":[{"state":"begun"}]}`, "\x00"} {
@@ -165,17 +168,18 @@
 				}
 			}
 			if _, err := begin(newBook(st, "entry-0"), 1); !record.IsKind(err, record.Unavailable) {
-				t.Errorf("over %q: %v", value, err)
+				t.Errorf("with stored object %q: got error %v, want kind unavailable", value, err)
 			}
 		}
 	})
 }
 
-// An instance that stops writes what it still knows before it ends.
+// Scenario: an instance stops while an answer is still pending. Run must write
+// the answer before it returns.
 func TestRunWritesWhatIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := platformfake.New()
-		bk := newBook(distant{st}, "entry-0")
+		bk := newBook(delayedStore{st}, "entry-0")
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error)
 		go func() { ended <- bk.Run(ctx) }()
@@ -183,10 +187,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		impatient, cancel := context.WithTimeout(ctx, time.Nanosecond)
+		shortCtx, cancel := context.WithTimeout(ctx, time.Nanosecond)
 		defer cancel()
-		if err := bk.Answer(impatient, cl, record.Answer{Status: 201}); err == nil {
-			t.Fatal("the answer was written at once, so nothing is shown")
+		if err := bk.Answer(shortCtx, cl, record.Answer{Status: 201}); err == nil {
+			t.Fatal("the answer was written immediately, so the test does not cover its case")
 		}
 		stop()
 		if err := <-ended; err != nil {
@@ -194,7 +198,7 @@
 		}
 		found, err := newBook(st, "entry-1").Find(context.Background(), id(1))
 		if err != nil || found.Entry.Answer == nil || found.Entry.Answer.Status != 201 {
-			t.Errorf("after the stop the record has %+v, %v", found, err)
+			t.Errorf("after the stop Find returned %+v, %v", found, err)
 		}
 	})
 }
--- a/internal/record/shard.go
+++ b/internal/record/shard.go
@@ -8,7 +8,7 @@
 	"filbertstall.example/filbertstall/internal/platform"
 )
 
-// shard gathers the changes of one part of the record and writes them in
+// shard batches the changes to one part of the record and writes them in
 // conditional updates, one at a time.
 type shard struct {
 	bk  *Book
@@ -18,12 +18,13 @@
 	pending []*change
 	running bool
 
-	// Only the goroutine that writes uses these.
-	next     time.Time
-	segments *segments
+	// nextWrite and index are used only by the writer goroutine.
+	// nextWrite is the time at which the next write is due.
+	nextWrite time.Time
+	index     *segmentIndex
 }
 
-// submit hands a change over and starts the writer if there is none.
+// submit queues a change and starts the writer goroutine if it is not running.
 func (sh *shard) submit(ch *change) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -34,7 +35,7 @@
 	}
 }
 
-func (sh *shard) take() []*change {
+func (sh *shard) takePending() []*change {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	batch := sh.pending
@@ -42,8 +43,9 @@
 	return batch
 }
 
-// idle ends the writer unless there are changes.
-func (sh *shard) idle() bool {
+// stopIfIdle marks the writer as stopped if no change is pending, and reports
+// whether it did.
+func (sh *shard) stopIfIdle() bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	sh.running = len(sh.pending) > 0
@@ -56,49 +58,50 @@
 	return sh.running
 }
 
-// run writes until nothing is left. After a quiet time a few batches are
-// written at once; those that follow come at least a Pace apart, and changes
-// wait for the next one together.
+// run writes batches until no change is pending. After an idle period it writes
+// up to writeBurst batches without delay. Further batches are WriteInterval
+// apart, and the changes that arrive in between are written together.
 func (sh *shard) run() {
-	for !sh.idle() {
-		sh.bk.Clock.Sleep(sh.turn())
-		sh.work(sh.take())
+	for !sh.stopIfIdle() {
+		sh.bk.Clock.Sleep(sh.reserveWrite())
+		sh.commitWithRetry(sh.takePending())
 	}
 }
 
-// turn takes the next turn to write and returns the time until then.
-func (sh *shard) turn() time.Duration {
+// reserveWrite reserves the next write and returns the delay until it is due.
+func (sh *shard) reserveWrite() time.Duration {
 	now := sh.bk.Clock.Now()
-	saved := now.Add(-(quietTurns - 1) * sh.bk.Pace)
-	if sh.next.Before(saved) {
-		sh.next = saved
+	earliest := now.Add(-(writeBurst - 1) * sh.bk.WriteInterval)
+	if sh.nextWrite.Before(earliest) {
+		sh.nextWrite = earliest
 	}
-	wait := max(0, sh.next.Sub(now))
-	sh.next = sh.next.Add(sh.bk.Pace)
+	wait := max(0, sh.nextWrite.Sub(now))
+	sh.nextWrite = sh.nextWrite.Add(sh.bk.WriteInterval)
 	return wait
 }
 
-// work repeats a batch, and what has come since, until it is written or every
-// change in it has run out of time.
-func (sh *shard) work(batch []*change) {
+// commitWithRetry commits a batch, together with the changes that arrive
+// meanwhile, until it is written or the deadline of every change has passed.
+func (sh *shard) commitWithRetry(batch []*change) {
 	for try := 1; ; try++ {
-		batch = sh.live(batch)
+		batch = sh.withoutSettled(batch)
 		if len(batch) == 0 {
 			return
 		}
 		left, err := sh.commit(batch)
 		if err == nil {
-			sh.putBack(left)
+			sh.requeue(left)
 			return
 		}
 		sh.bk.countRetry(err)
 		sh.bk.Clock.Sleep(backoffOf(err).Pause(try))
-		batch = append(batch, sh.take()...)
+		batch = append(batch, sh.takePending()...)
 	}
 }
 
-// backoffOf spreads instances that met at one shard, and spares a platform
-// that does not answer.
+// backoffOf returns the back-off after a failed write. It is short after a
+// conflict, where it only has to spread the instances that write to the same
+// shard, and longer if the platform does not respond, to limit its load.
 func backoffOf(err error) platform.Backoff {
 	if platform.IsKind(err, platform.Conflict) {
 		return platform.Backoff{Base: 5 * time.Millisecond, Cap: 40 * time.Millisecond}
@@ -106,19 +109,20 @@
 	return platform.Backoff{Base: 10 * time.Millisecond, Cap: 500 * time.Millisecond}
 }
 
-func (sh *shard) putBack(left []*change) {
+func (sh *shard) requeue(left []*change) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	sh.pending = append(left, sh.pending...)
 }
 
-// live drops changes that nobody waits for any more. A begin that was given up
-// and may have been written turns into its own withdrawal.
-func (sh *shard) live(batch []*change) []*change {
+// withoutSettled removes changes that no owner waits for any more. A begin whose
+// owner has stopped waiting and that may have been written is replaced by its
+// withdrawal. Outcomes are kept until their deadline.
+func (sh *shard) withoutSettled(batch []*change) []*change {
 	now := sh.bk.Clock.Now()
 	kept := batch[:0]
 	for _, ch := range batch {
-		over := now.After(ch.until)
+		over := now.After(ch.deadline)
 		if over {
 			ch.settle(result{err: &Error{Op: string(ch.op), Kind: Unavailable}})
 		}
@@ -134,8 +138,9 @@
 	return kept
 }
 
-// commit applies a batch to the shard's object. It returns the changes that
-// did not fit, or an error if it is not known that the batch was written.
+// commit applies a batch to the shard's object and writes it. It returns the
+// changes that did not fit. After an error the batch may or may not have been
+// written.
 func (sh *shard) commit(batch []*change) (left []*change, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
@@ -149,7 +154,7 @@
 	}
 	now := sh.bk.Clock.Now()
 	dropped := pg.expire(now)
-	if err := sh.segments.load(ctx, sh.bk.Store, pg.Segments); err != nil {
+	if err := sh.index.load(ctx, sh.bk.Store, pg.Segments); err != nil {
 		return nil, err
 	}
 	done, results, left, modified := sh.apply(pg, batch, now)
@@ -157,20 +162,21 @@
 		if err := sh.write(ctx, pg, ob.Version, done); err != nil {
 			return nil, err
 		}
-		drop(ctx, sh.bk.Store, dropped)
+		deleteSegments(ctx, sh.bk.Store, dropped)
 	}
 	sh.settle(done, results)
 	return left, nil
 }
 
-// apply applies the batch until the page has no room for more answers.
+// apply applies the batch to the page. Answers for which the page has no room
+// are returned in left.
 func (sh *shard) apply(pg *page, batch []*change, now time.Time) (done []*change, results []result, left []*change, modified bool) {
 	for _, ch := range batch {
-		if ch.op == opAnswer && pg.bytes > batchBytes {
+		if ch.op == opAnswer && pg.bytes > maxBytesForAnswer {
 			left = append(left, ch)
 			continue
 		}
-		re, changed := ch.apply(pg, sh.segments.find, now)
+		re, changed := ch.apply(pg, sh.index.find, now)
 		done = append(done, ch)
 		results = append(results, re)
 		modified = modified || changed
@@ -178,31 +184,32 @@
 	return done, results, left, modified
 }
 
-// write updates the shard's object, moving finished entries out if it has
-// grown large.
+// write updates the shard's object. Finished entries are first moved to a
+// segment if the page is large.
 func (sh *shard) write(ctx context.Context, pg *page, previous int64, done []*change) error {
 	for _, ch := range done {
 		ch.attempted = true
 	}
-	moved := sh.seal(ctx, pg)
-	data, err := pg.encode(newWrite())
+	sealed := sh.seal(ctx, pg)
+	data, err := pg.encode(newWriteID())
 	if err != nil {
 		return &Error{Op: "encode", Kind: Corrupt, Err: err}
 	}
 	_, err = sh.bk.Store.Update(ctx, sh.key, previous, data)
 	switch {
 	case err == nil:
-		sh.segments.add(moved)
-	case moved != nil && platform.IsKind(err, platform.Unknown):
+		sh.index.addSealed(sealed)
+	case sealed != nil && platform.IsKind(err, platform.Unknown):
 		sh.bk.events[SegmentLeft].Inc(1)
 	case platform.IsKind(err, platform.Conflict):
-		// Nothing refers to the new segment, and nothing ever will.
-		sh.segments.discard(ctx, sh.bk.Store, moved)
+		// The page was not written, so nothing will ever refer to the new segment.
+		sh.index.discard(ctx, sh.bk.Store, sealed)
 	}
 	return err
 }
 
-// settle hands out results. A begin whose owner has left is withdrawn.
+// settle delivers the results. A begin that was written although its owner had
+// stopped waiting is withdrawn.
 func (sh *shard) settle(done []*change, results []result) {
 	for ix, ch := range done {
 		if IsKind(results[ix].err, Full) {
@@ -211,7 +218,7 @@
 		wanted := ch.settle(results[ix])
 		if !wanted && ch.op == opBegin && results[ix].claim.Own {
 			until := sh.bk.Clock.Now().Add(finishTimeout)
-			sh.putBack([]*change{newChange(opWithdraw, ch.entry, until)})
+			sh.requeue([]*change{newChange(opWithdraw, ch.entry, until)})
 		}
 	}
 }
