--- a/internal/entry/filters.go
+++ b/internal/entry/filters.go
@@ -20,8 +20,8 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// admitWhileRunning refuses new requests while the instance stops.
-func (se *Server) admitWhileRunning(next filter.Handler) filter.Handler {
+// refuseWhileStopping refuses new requests once the graceful shutdown has begun.
+func (se *Server) refuseWhileStopping(next filter.Handler) filter.Handler {
 	return func(ex *filter.Exchange) error {
 		if se.stopping.Load() {
 			return refusal.New(refusal.Stopping, "this instance stops; send the request again")
@@ -30,7 +30,8 @@
 	}
 }
 
-// attachConfiguration fixes the configuration that the request sees.
+// attachConfiguration attaches the current configuration, which the request uses
+// until it ends even if a newer one arrives.
 func (se *Server) attachConfiguration(next filter.Handler) filter.Handler {
 	return func(ex *filter.Exchange) error {
 		ex.Configuration = se.Configuration.Load()
@@ -41,7 +42,8 @@
 	}
 }
 
-// authenticate finds the team of the bearer token.
+// authenticate sets the team to which the bearer token belongs. Tokens of
+// operators are refused.
 func authenticate(next filter.Handler) filter.Handler {
 	return func(ex *filter.Exchange) error {
 		header := string(ex.HTTP.Request.Header.Peek("Authorization"))
@@ -61,7 +63,9 @@
 	}
 }
 
-// setDeadline reads Request-Timeout and bounds the exchange by it.
+// setDeadline sets the deadline of the exchange from the Request-Timeout header,
+// a number of seconds. Without the header it is Timeout after arrival, and it is
+// at most MaxTimeout after arrival.
 func (se *Server) setDeadline(next filter.Handler) filter.Handler {
 	return func(ex *filter.Exchange) error {
 		timeout := se.Timeout
@@ -80,15 +84,17 @@
 	}
 }
 
-// watchCaller ends the wait of a caller that hangs up or of an instance that
-// stops, and names that as the reason in place of the deadline.
+// watchCaller cancels the context of the exchange when the caller closes its
+// connection. If the exchange then ends with DeadlinePassed, the refusal is
+// replaced by the actual cause: the caller that hung up, or the graceful shutdown
+// of the instance.
 func (se *Server) watchCaller(next filter.Handler) filter.Handler {
 	return func(ex *filter.Exchange) error {
 		ctx, cancel := context.WithCancelCause(ex.Context)
 		defer cancel(nil)
 		ex.Context = ctx
-		gone := refusal.New(refusal.CallerGone, "the caller hung up before it got a place")
-		stop := se.Hangups.Watch(ex.HTTP.Conn(), func() { cancel(gone) })
+		hungUp := refusal.New(refusal.CallerGone, "the caller hung up before it got a place")
+		stop := se.Hangups.Watch(ex.HTTP.Conn(), func() { cancel(hungUp) })
 		defer stop()
 		err := next(ex)
 		var cause *refusal.Error
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,11 +1,14 @@
-// Package entry is the listener towards callers: it reads HTTP requests, runs
-// them through the filter chain and writes refusals.
+// Package entry is the HTTP server for callers. It runs each request through the
+// filter chain and writes refusals.
 //
 // # Usage
 //
-//	se := &entry.Server{Listener: ln, Configuration: &holder, Generations: gs, Calls: cs, ...}
-//	err := se.Run(ctx)   // a controller.Controller
-//	err = se.Stop(ctx)   // no new work; open answers finish or are handed over
+//	se := &entry.Server{
+//		Listener: ln, Configuration: &holder, CreateGeneration: create, ResumeGeneration: resume, Call: serve,
+//		Metrics: metrics, Scope: scope, Clock: clock, BodyBytes: 1 << 20, Timeout: time.Minute, MaxTimeout: time.Hour,
+//	}
+//	err := se.Run(ctx)              // implements controller.Controller
+//	handedOver, err := se.Stop(ctx) // graceful shutdown, called from another goroutine
 package entry
 
 import (
@@ -31,59 +34,62 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// headerBytes bounds the header of a request.
-const headerBytes = 16 << 10
+// maxHeaderBytes is the maximum size of the header of a request.
+const maxHeaderBytes = 16 << 10
 
-// Server is the listener towards callers. Set the fields before Run.
+// Server is the HTTP server for callers. The fields must be set before Run.
 type Server struct {
 	Listener net.Listener
-	// Instance is named in refusals.
+	// Instance is the name of this instance. It is reported in refusals.
 	Instance string
-	// Explain keeps why requests were refused; nil keeps nothing.
+	// Explain stores why requests were refused. If it is nil, nothing is stored.
 	Explain       *explain.Ring
 	Configuration *snapshot.Holder[kind.Configuration]
-	// CreateGeneration, ResumeGeneration and Call end the chain.
+	// CreateGeneration, ResumeGeneration and Call serve the requests that have
+	// passed the filter chain.
 	CreateGeneration filter.Handler
 	ResumeGeneration filter.Handler
 	Call             filter.Handler
-	// OpenStreams counts the answers that go on after their handler returned;
-	// HandOver ends them with an event that tells how to resume.
+	// OpenStreams returns the number of streams that continue after their handler
+	// returned. HandOver ends them with an event that tells the caller how to
+	// resume, and returns their number. Both may be nil.
 	OpenStreams func() int
 	HandOver    func() int
-	// Hangups tells of callers that hung up; nil tells of none.
+	// Hangups detects callers that close their connection. If it is nil, they are
+	// not detected.
 	Hangups *hangup.Watcher
 	// Metrics serves GET /metrics.
 	Metrics fasthttp.RequestHandler
 	Scope   tally.Scope
 	Clock   clockwork.Clock
 	Log     zerolog.Logger
-	// BodyBytes bounds a request's body.
+	// BodyBytes is the maximum size of the body of a request.
 	BodyBytes int
-	// Timeout is the deadline of a request that states none; MaxTimeout
-	// bounds what it may state.
+	// Timeout applies to requests without a Request-Timeout header. MaxTimeout is
+	// the maximum that the header may ask for.
 	Timeout    time.Duration
 	MaxTimeout time.Duration
-	// WriteTimeout is how long one write to a caller may block; zero means
-	// 15 s.
+	// WriteTimeout is how long one write to a caller may block. Zero means 15 s.
 	WriteTimeout time.Duration
 
-	server   fasthttp.Server
-	stopping atomic.Bool
-	handling atomic.Int64
-	// base ends, with a refusal as its cause, when waiting requests are refused.
-	base     context.Context
-	endWait  context.CancelCauseFunc
-	refusals map[refusal.Reason]tally.Counter
-	requests tally.Counter
-	create   filter.Handler
-	resume   filter.Handler
-	call     filter.Handler
+	server         fasthttp.Server
+	stopping       atomic.Bool
+	activeHandlers atomic.Int64
+	// baseContext is the parent of the contexts of all requests. During a graceful
+	// shutdown, cancelWaiting cancels it with a refusal as its cause.
+	baseContext   context.Context
+	cancelWaiting context.CancelCauseFunc
+	refusals      map[refusal.Reason]tally.Counter
+	requests      tally.Counter
+	create        filter.Handler
+	resume        filter.Handler
+	call          filter.Handler
 }
 
 // Name implements controller.Controller.
 func (se *Server) Name() string { return "entry" }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx ends or Stop is called.
 func (se *Server) Run(ctx context.Context) error {
 	se.prepare()
 	stop := context.AfterFunc(ctx, func() { _ = se.Listener.Close() })
@@ -101,26 +107,27 @@
 	if se.WriteTimeout == 0 {
 		se.WriteTimeout = steady.DefaultTimeout
 	}
-	se.base, se.endWait = context.WithCancelCause(context.Background())
+	se.baseContext, se.cancelWaiting = context.WithCancelCause(context.Background())
 	chain := []filter.Filter{
-		filter.Func(se.admitWhileRunning), filter.Func(se.attachConfiguration),
+		filter.Func(se.refuseWhileStopping), filter.Func(se.attachConfiguration),
 		filter.Func(authenticate), filter.Func(se.setDeadline), filter.Func(se.watchCaller), filter.Recover{},
 	}
 	se.create = filter.Chain(se.CreateGeneration, chain...)
 	se.resume = filter.Chain(se.ResumeGeneration, chain...)
 	se.call = filter.Chain(se.Call, chain...)
 	se.server = fasthttp.Server{
-		Handler: se.serve, ErrorHandler: se.unreadable, NoDefaultServerHeader: true, CloseOnShutdown: true,
-		MaxRequestBodySize: se.BodyBytes, ReadBufferSize: headerBytes, IdleTimeout: idleTimeout,
-		// A stream holds no read buffer while it is written.
+		Handler: se.serve, ErrorHandler: se.handleReadError, NoDefaultServerHeader: true, CloseOnShutdown: true,
+		MaxRequestBodySize: se.BodyBytes, ReadBufferSize: maxHeaderBytes, IdleTimeout: idleTimeout,
+		// Releases the read buffer of a connection while a stream is written to it.
 		ReduceMemoryUsage: true,
 	}
 }
 
-// idleTimeout closes kept-alive connections without requests.
+// idleTimeout is how long a keep-alive connection without requests stays open.
 const idleTimeout = 2 * time.Minute
 
-// Ready tells whether the instance takes new work.
+// Ready reports whether the instance accepts new requests. It is false without a
+// configuration and during a graceful shutdown.
 func (se *Server) Ready() bool {
 	return !se.stopping.Load() && se.Configuration.Load() != nil
 }
@@ -164,9 +171,9 @@
 
 func (se *Server) exchange(ctx *fasthttp.RequestCtx, ha filter.Handler) {
 	se.requests.Inc(1)
-	se.handling.Add(1)
-	defer se.handling.Add(-1)
-	ex := &filter.Exchange{HTTP: ctx, Context: se.base, ID: newID(), Arrived: se.Clock.Now()}
+	se.activeHandlers.Add(1)
+	defer se.activeHandlers.Add(-1)
+	ex := &filter.Exchange{HTTP: ctx, Context: se.baseContext, ID: newID(), Arrived: se.Clock.Now()}
 	if err := ha(ex); err != nil {
 		er := refusal.From(err)
 		se.Explain.Add(ex.ID, explain.Event{Step: explain.Answered, Reason: er.Error()})
@@ -175,14 +182,15 @@
 	ctx.Response.Header.Set(requestIDHeader, ex.ID)
 }
 
-// requestIDHeader names the request towards its caller, for explanations.
+// requestIDHeader is the response header with the ID of the request, by which an
+// operator can look up the explanation.
 const requestIDHeader = "Request-Id"
 
 func (se *Server) refuse(ctx *fasthttp.RequestCtx, id string, er *refusal.Error) {
 	ru := er.Rule()
 	se.refusals[er.Reason].Inc(1)
 	if er.Reason == refusal.Internal {
-		se.Log.Error().Err(er).Msg("entry: internal fault")
+		se.Log.Error().Err(er).Msg("entry: request failed with an internal error")
 	}
 	ctx.Response.Reset()
 	ctx.SetStatusCode(ru.Status)
@@ -193,8 +201,9 @@
 	ctx.SetBody(er.ProblemOf(id, se.Instance))
 }
 
-// unreadable answers a request that could not be read.
-func (se *Server) unreadable(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers a request that fasthttp could not read. The cases are
+// told apart by the texts of fasthttp's errors.
+func (se *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	if co, ok := ctx.Conn().(*steady.Conn); ok {
 		co.MarkUnread()
 	}
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -32,7 +32,7 @@
 
 const bodyLimit = 4096
 
-// bench is an entry server whose handlers answer with the team's name.
+// bench runs an entry server whose handlers respond with the name of the team.
 type bench struct {
 	client  *http.Client
 	ring    *explain.Ring
@@ -95,7 +95,7 @@
 }
 
 var _ = Describe("Server", func() {
-	It("passes a good request on with its team and names it", func() {
+	It("passes a valid request to the handler with its team and returns a request ID", func() {
 		resp, body := newBench(configured()).send("POST", "/v1/completions", "{}", bearer("good"))
 		Expect(resp.StatusCode).To(Equal(200))
 		Expect(string(body)).To(Equal("desk"))
@@ -127,14 +127,14 @@
 		Entry("an operator's token", "POST", "/v1/completions", "{}", bearer("operator"), refusal.Forbidden),
 		Entry("unknown path", "GET", "/v2", "", bearer("good"), refusal.NotFound),
 		Entry("wrong method", "GET", "/v1/completions", "", bearer("good"), refusal.NotFound),
-		Entry("no number as timeout", "POST", "/v1/completions", "{}", with("Request-Timeout", "soon"), refusal.BadRequest),
+		Entry("timeout that is a word", "POST", "/v1/completions", "{}", with("Request-Timeout", "soon"), refusal.BadRequest),
 		Entry("timeout of zero", "POST", "/v1/completions", "{}", with("Request-Timeout", "0"), refusal.BadRequest),
 		Entry("timeout that is not a number", "POST", "/v1/completions", "{}", with("Request-Timeout", "NaN"), refusal.BadRequest),
 		Entry("large body", "POST", "/v1/completions", strings.Repeat("x", 1<<20), bearer("good"), refusal.TooLarge),
 		Entry("large header", "POST", "/v1/completions", "{}", with("X-Large", strings.Repeat("x", 512<<10)), refusal.TooLarge),
 	)
 
-	It("says not ready and refuses without a configuration", func() {
+	It("is not ready and refuses requests without a configuration", func() {
 		be := newBench(nil)
 		resp, _ := be.send("GET", "/readyz", "", http.Header{})
 		Expect(resp.StatusCode).To(Equal(503))
@@ -142,7 +142,7 @@
 		Expect(resp.StatusCode).To(Equal(503))
 	})
 
-	It("turns a panic into an answer that proves nothing, and explains it", func() {
+	It("turns a panic into a refusal with unknown outcome, and explains it", func() {
 		be := newBench(configured())
 		resp, data := be.send("POST", "/services/panic/now", "", bearer("good"))
 		Expect(resp.StatusCode).To(Equal(500))
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -9,51 +9,56 @@
 )
 
 const (
-	// stopNotice is how long the listener stays open after a stop began, so
-	// that balancers see that the instance is not ready.
-	stopNotice = 500 * time.Millisecond
-	// stopPoll is the pause between two looks at what is still open.
-	stopPoll = 20 * time.Millisecond
-	// handOverTimeout bounds the time to write last events and refusals.
+	// unreadyDelay is how long the listener stays open after the graceful
+	// shutdown began, so that load balancers notice that the instance is not
+	// ready.
+	unreadyDelay = 500 * time.Millisecond
+	// drainPollInterval is the interval at which Open is checked during a drain.
+	drainPollInterval = 20 * time.Millisecond
+	// handOverTimeout is the time for writing the last events of streams that are
+	// handed over, and the refusals of waiting requests.
 	handOverTimeout = 3 * time.Second
 )
 
-// Stop takes no new work at once and waits until open answers are finished.
-// When ctx ends, it refuses what still waits for a place and hands streams
-// over. It returns how many streams those were.
-func (se *Server) Stop(ctx context.Context) (handed int, err error) {
+// Stop shuts the server down gracefully. New requests are refused immediately,
+// and requests in flight may finish until ctx ends. Then requests that still wait
+// for a place at an endpoint are refused, and open streams are handed over. Stop
+// returns the number of streams that were handed over, and an error if requests
+// were still open when the listener was closed.
+func (se *Server) Stop(ctx context.Context) (handedOver int, err error) {
 	se.stopping.Store(true)
-	notice := se.Clock.After(stopNotice)
-	if !se.drained(ctx) {
-		se.endWait(refusal.New(refusal.Stopping, "this instance stopped while the request waited; send it again"))
+	listenerDelay := se.Clock.After(unreadyDelay)
+	if !se.awaitDrained(ctx) {
+		se.cancelWaiting(refusal.New(refusal.Stopping, "this instance stopped while the request waited; send it again"))
 		if se.HandOver != nil {
-			handed = se.HandOver()
+			handedOver = se.HandOver()
 		}
 	}
-	<-notice
+	<-listenerDelay
 	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), handOverTimeout)
 	defer cancel()
-	if !se.drained(last) {
-		err = errors.New("entry: requests were still open when the listener closed")
+	if !se.awaitDrained(last) {
+		err = errors.New("entry: requests were still open when the listener was closed")
 	}
-	return handed, errors.Join(err, se.server.ShutdownWithContext(last))
+	return handedOver, errors.Join(err, se.server.ShutdownWithContext(last))
 }
 
-// drained waits until nothing is open. It returns false if ctx ends first.
-func (se *Server) drained(ctx context.Context) bool {
+// awaitDrained waits until Open returns zero. It returns false if ctx ends first.
+func (se *Server) awaitDrained(ctx context.Context) bool {
 	for se.Open() > 0 {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-se.Clock.After(stopPoll):
+		case <-se.Clock.After(drainPollInterval):
 		}
 	}
 	return true
 }
 
-// Open counts requests in a handler and streams behind one.
+// Open returns the number of requests that a handler is serving, plus the number
+// of streams that continue after their handler returned.
 func (se *Server) Open() int {
-	count := int(se.handling.Load())
+	count := int(se.activeHandlers.Load())
 	if se.OpenStreams != nil {
 		count += se.OpenStreams()
 	}
