--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -1,8 +1,9 @@
-// Package filter is the chain that each request of a caller passes through.
+// Package filter defines the filter chain that each request of a caller passes
+// through.
 //
-// A filter does one check or adds one fact to the Exchange and calls the next
-// handler. The handler at the end of the chain serves the request. An error
-// that comes back is a refusal; the outermost filter writes and counts it.
+// A filter checks the request or sets fields of the Exchange, and calls the next
+// handler. The handler at the end of the chain serves the request. An error that
+// the chain returns is a refusal, which package entry writes and counts.
 //
 // # Usage
 //
@@ -21,39 +22,40 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// Exchange is one request on its way through the chain.
+// Exchange is a request and its state in the filter chain.
 type Exchange struct {
 	// HTTP is the request and the response to fill.
 	HTTP *fasthttp.RequestCtx
 	// Context ends at the deadline, or when the caller hangs up while queued.
 	Context context.Context
-	// ID names the request in logs, explanations and towards endpoints.
+	// ID identifies the request in logs and explanations and at endpoints.
 	ID string
-	// Arrived is when the request was read.
+	// Arrived is the time at which the request was read.
 	Arrived time.Time
-	// Deadline is when the caller stops waiting.
+	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
-	// Configuration is the one version that the whole request sees.
+	// Configuration is the configuration that is used for the whole request.
 	Configuration *kind.Configuration
-	// Team is the caller's team.
+	// Team is the team of the caller, set by authentication.
 	Team kind.Team
 }
 
-// Handler serves an exchange or returns why not.
+// Handler serves an exchange, or returns the refusal if it cannot.
 type Handler func(ex *Exchange) error
 
-// Filter wraps a handler.
+// Filter adds a step before a handler. Wrap returns a handler that does this step
+// and then calls next, unless it refuses the request.
 type Filter interface {
 	Wrap(next Handler) Handler
 }
 
-// Func is a Filter made of a function.
+// Func is an adapter that makes a function a Filter.
 type Func func(next Handler) Handler
 
 // Wrap implements Filter.
 func (fu Func) Wrap(next Handler) Handler { return fu(next) }
 
-// Chain wraps ha so that the first filter sees the exchange first.
+// Chain wraps ha with the filters, of which the first is the outermost.
 func Chain(ha Handler, filters ...Filter) Handler {
 	for ix := len(filters) - 1; ix >= 0; ix-- {
 		ha = filters[ix].Wrap(ha)
@@ -61,7 +63,8 @@
 	return ha
 }
 
-// Recover turns a panic of a handler into an internal refusal.
+// Recover is a Filter that turns a panic of a handler into a refusal with reason
+// Internal.
 type Recover struct{}
 
 // Wrap implements Filter.
