--- a/internal/refusal/problem.go
+++ b/internal/refusal/problem.go
@@ -9,25 +9,28 @@
 // ContentType is the media type of a refusal's body.
 const ContentType = "application/problem+json"
 
-// Problem is the body of a refusal.
+// Problem is the body of a refusal, in the format of RFC 9457 with additional
+// members.
 type Problem struct {
 	Title   string  `json:"title"`
 	Status  int     `json:"status"`
 	Reason  Reason  `json:"reason"`
 	Outcome Outcome `json:"outcome"`
 	Detail  string  `json:"detail"`
-	// RetryAfter is the pause before a resend in seconds.
+	// RetryAfter is the back-off before a resend in seconds. Zero means that a
+	// resend is of no use.
 	RetryAfter int `json:"retry_after,omitempty"`
-	// Request is the ID to ask an instance's operator listener about.
+	// Request is the ID of the request, by which an operator can look up its
+	// explanation at the operator listener of an instance.
 	Request string `json:"request,omitempty"`
-	// Instance is the one that refused.
+	// Instance is the name of the instance that refused the request.
 	Instance string `json:"instance,omitempty"`
 }
 
-// Problem returns the refusal as JSON.
+// Problem returns the refusal as JSON without a request ID and an instance.
 func (er *Error) Problem() []byte { return er.ProblemOf("", "") }
 
-// ProblemOf returns the refusal as JSON that names the request and the
+// ProblemOf returns the refusal as JSON with the request ID and the name of the
 // instance.
 func (er *Error) ProblemOf(request, instance string) []byte {
 	ru := er.Rule()
@@ -41,7 +44,8 @@
 	return data
 }
 
-// RetryAfterHeader returns the value of the Retry-After header, empty for none.
+// RetryAfterHeader returns the value of the Retry-After header in seconds, or an
+// empty string if the header must not be set.
 func (ru Rule) RetryAfterHeader() string {
 	if ru.RetryAfter <= 0 {
 		return ""
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -1,13 +1,14 @@
-// Package refusal holds the one table of reasons for which a request is not
-// answered whole, with what each proves about the endpoint.
+// Package refusal defines the reasons for which a request is not answered
+// completely. Its table states for each reason whether an endpoint can have run
+// the request.
 //
 // # Usage
 //
 //	return refusal.New(refusal.UnknownModel, "no service serves model "+model)
 //
-// The entry turns a *refusal.Error into an application/problem+json answer and
-// counts it by reason. The outcome comes from the table, never from the caller
-// of New, so that "not_run" is said only where the table proves it.
+// Package entry turns an *Error into an application/problem+json response and
+// counts it by reason. The outcome is taken from the table and not from the caller
+// of New, so that "not_run" is reported only for reasons that guarantee it.
 package refusal
 
 import (
@@ -19,12 +20,13 @@
 	"time"
 )
 
-// Outcome says what a caller may conclude about its request.
+// Outcome tells a caller whether its request has run.
 type Outcome string
 
-// The outcomes of a request that was not answered whole.
+// The outcomes of a request that was not answered completely.
 const (
-	// NotRun means that no endpoint began the request.
+	// NotRun means that no endpoint began the request, so that it is safe to send
+	// it again.
 	NotRun Outcome = "not_run"
 	// Unknown means that an endpoint may have run the request.
 	Unknown Outcome = "unknown"
@@ -32,10 +34,10 @@
 	Failed Outcome = "failed"
 )
 
-// Reason is why a request was not answered whole.
+// Reason is the reason for which a request was not answered completely.
 type Reason string
 
-// The reasons. Table has the outcome and the proof of each.
+// The reasons. Table contains the status, the outcome and its proof for each.
 const (
 	Unauthenticated   Reason = "unauthenticated"
 	Forbidden         Reason = "forbidden"
@@ -50,11 +52,14 @@
 	AnswerNotKept     Reason = "answer_not_kept"
 	NoConfiguration   Reason = "no_configuration"
 	NoRecord          Reason = "no_record"
-	// StaleConfiguration means that a newer configuration may exist.
+	// StaleConfiguration means that the configuration has not been confirmed
+	// recently, so that a newer one may exist.
 	StaleConfiguration Reason = "stale_configuration"
-	// NotSentSuspect means that endpoints that ran the same request crashed.
+	// NotSentSuspect means that endpoints crashed while they ran the same request
+	// before, and that this one was not sent.
 	NotSentSuspect Reason = "not_sent_suspect"
-	// TimedOut means that the time for the answer passed after the sending.
+	// TimedOut means that the request was sent and that no complete answer was
+	// received before the timeout.
 	TimedOut        Reason = "timed_out"
 	NoCapacity      Reason = "no_capacity"
 	QueueFull       Reason = "queue_full"
@@ -69,17 +74,19 @@
 	Internal        Reason = "internal"
 )
 
-// Rule is one row of Table.
+// Rule is the table row of a reason.
 type Rule struct {
+	// Status is the HTTP status code.
 	Status  int
 	Outcome Outcome
-	// RetryAfter is the default pause before a resend; zero means none is of use.
+	// RetryAfter is the default back-off before a resend. Zero means that a
+	// resend is of no use.
 	RetryAfter time.Duration
-	// Proof says why the outcome is true.
+	// Proof is the argument why the outcome holds.
 	Proof string
 }
 
-// Table has one row for each reason.
+// Table contains the rule of each reason.
 var Table = map[Reason]Rule{
 	Unauthenticated:    {http.StatusUnauthorized, NotRun, 0, "Checked before any endpoint is chosen."},
 	Forbidden:          {http.StatusForbidden, NotRun, 0, "Checked before any endpoint is chosen."},
@@ -110,21 +117,22 @@
 	Internal:           {http.StatusInternalServerError, Unknown, time.Second, "A fault of the instance; nothing is proved."},
 }
 
-// Error is a refusal on its way to the caller.
+// Error is a refusal. It is the error that handlers return for a request that is
+// not answered completely.
 type Error struct {
 	Reason Reason
 	// Detail tells the caller what happened and what to change.
 	Detail string
-	// RetryAfter overrides the table's pause if it is not zero.
+	// RetryAfter overrides the back-off of the table if it is above zero.
 	RetryAfter time.Duration
-	// Dispatched turns a not_run outcome into unknown: an attempt before this
-	// refusal may have reached an endpoint.
+	// Dispatched means that an attempt before this refusal may have reached an
+	// endpoint. It changes the outcome not_run to unknown.
 	Dispatched bool
-	// Err is the cause, or nil.
+	// Err is the cause. It may be nil. It is not sent to the caller.
 	Err error
 }
 
-// New returns a refusal.
+// New returns a refusal without a cause. The caller of the request sees detail.
 func New(re Reason, detail string) *Error { return &Error{Reason: re, Detail: detail} }
 
 // Wrap returns a refusal with a cause.
@@ -132,7 +140,8 @@
 	return &Error{Reason: re, Detail: detail, Err: err}
 }
 
-// From returns err as a refusal; other errors become Internal.
+// From returns the refusal that err is or wraps. Any other error is wrapped in a
+// refusal with reason Internal.
 func From(err error) *Error {
 	var er *Error
 	if errors.As(err, &er) {
@@ -141,19 +150,20 @@
 	return Wrap(Internal, "the instance met an unexpected fault", err)
 }
 
-// WithDispatched returns a copy that admits an earlier dispatch.
+// WithDispatched returns a copy with Dispatched set.
 func (er Error) WithDispatched() *Error {
 	er.Dispatched = true
 	return &er
 }
 
-// WithRetryAfter returns a copy with a pause of its own.
+// WithRetryAfter returns a copy that overrides the back-off of the table.
 func (er Error) WithRetryAfter(pause time.Duration) *Error {
 	er.RetryAfter = pause
 	return &er
 }
 
-// Rule returns the table row of the refusal.
+// Rule returns the rule of the refusal's reason, changed by RetryAfter and
+// Dispatched. A reason that is not in the table has the rule of Internal.
 func (er *Error) Rule() Rule {
 	ru, found := Table[er.Reason]
 	if !found {
@@ -179,7 +189,7 @@
 // Unwrap returns the cause.
 func (er *Error) Unwrap() error { return er.Err }
 
-// Reasons returns all reasons in a fixed order.
+// Reasons returns all reasons in alphabetical order.
 func Reasons() []Reason {
 	return slices.Sorted(maps.Keys(Table))
 }
--- a/internal/refusal/refusal_test.go
+++ b/internal/refusal/refusal_test.go
@@ -13,8 +13,9 @@
 	"filbertstall.example/filbertstall/internal/refusal"
 )
 
-// reasonsInSource returns the names of the reason constants by their values,
-// and where each is used as the reason of a refusal.
+// reasonsInSource parses the non-test source files. It returns the value of each
+// reason constant by its name, and a position at which each constant is used as
+// the reason of a refusal.
 func reasonsInSource(t *testing.T) (names map[string]refusal.Reason, used map[string]string) {
 	names, used = make(map[string]refusal.Reason), make(map[string]string)
 	root := filepath.Join("..", "..")
@@ -22,14 +23,14 @@
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		files := token.NewFileSet()
-		file, err := parser.ParseFile(files, path, nil, 0)
+		fileSet := token.NewFileSet()
+		file, err := parser.ParseFile(fileSet, path, nil, 0)
 		if err != nil {
 			return err
 		}
 		ast.Inspect(file, func(no ast.Node) bool {
 			collectConstant(no, names)
-			collectUse(files, no, used)
+			collectUse(fileSet, no, used)
 			return true
 		})
 		return nil
@@ -40,7 +41,8 @@
 	return names, used
 }
 
-// collectConstant notes a constant of type Reason of the refusal package.
+// collectConstant adds the constant that a node declares to names if it has type
+// Reason and its value is in the table.
 func collectConstant(no ast.Node, names map[string]refusal.Reason) {
 	vs, isValue := no.(*ast.ValueSpec)
 	if !isValue || len(vs.Values) != 1 {
@@ -57,9 +59,10 @@
 	}
 }
 
-// collectUse notes the first argument of refusal.New and refusal.Wrap. An
-// argument that is not a constant by name is noted as such.
-func collectUse(files *token.FileSet, no ast.Node, used map[string]string) {
+// collectUse adds the first argument of a call of refusal.New or refusal.Wrap to
+// used. An argument that is not the name of a constant is added as "not a
+// constant".
+func collectUse(fileSet *token.FileSet, no ast.Node, used map[string]string) {
 	ca, isCall := no.(*ast.CallExpr)
 	if !isCall || len(ca.Args) == 0 {
 		return
@@ -72,7 +75,7 @@
 			name = "not a constant"
 		}
 	case *ast.Ident:
-		// From wraps inside the package itself.
+		// From calls Wrap without the package name.
 		if re, isIdent := ca.Args[0].(*ast.Ident); isIdent && fn.Name == "Wrap" {
 			name = re.Name
 		}
@@ -81,44 +84,48 @@
 		name = re.Sel.Name
 	}
 	if name != "" {
-		used[name] = files.Position(ca.Pos()).String()
+		used[name] = fileSet.Position(ca.Pos()).String()
 	}
 }
 
-// passedOn are files that hand on a refusal that another instance made. A
-// reason that is not in the table counts as internal, which proves nothing.
-var passedOn = []string{"internal/allocation/wire.go"}
+// relayingFiles are files that relay a refusal of another instance, whose reason
+// is not a constant. If the reason is not in the table, the rule of Internal with
+// outcome unknown applies.
+var relayingFiles = []string{"internal/allocation/wire.go"}
 
-func isPassedOn(where string) bool {
-	return slices.ContainsFunc(passedOn, func(file string) bool { return strings.Contains(filepath.ToSlash(where), file+":") })
+func isRelayed(where string) bool {
+	return slices.ContainsFunc(relayingFiles, func(file string) bool { return strings.Contains(filepath.ToSlash(where), file+":") })
 }
 
+// Each reason that the code uses must have a complete row in the table, and each
+// row must be used.
 func TestEveryRefusalHasItsProof(t *testing.T) {
 	names, used := reasonsInSource(t)
 	for name, where := range used {
-		if _, found := names[name]; !found && !isPassedOn(where) {
+		if _, found := names[name]; !found && !isRelayed(where) {
 			t.Errorf("%s: reason %s has no row in the table", where, name)
 		}
 	}
 	for name := range names {
 		if _, isUsed := used[name]; !isUsed {
-			t.Errorf("the row of %s is used nowhere", name)
+			t.Errorf("reason %s is in the table and is never used", name)
 		}
 	}
 	if len(names) != len(refusal.Table) {
-		t.Errorf("%d constants and %d rows", len(names), len(refusal.Table))
+		t.Errorf("%d reason constants, but %d rows in the table", len(names), len(refusal.Table))
 	}
 	for reason, ru := range refusal.Table {
 		if ru.Proof == "" || ru.Status < 400 || ru.Outcome == "" {
-			t.Errorf("row of %s is not complete: %+v", reason, ru)
+			t.Errorf("the row of reason %s is incomplete: %+v", reason, ru)
 		}
 	}
 }
 
+// A refusal after a dispatch must not claim that the request has not run.
 func TestDispatchTakesNotRunBack(t *testing.T) {
 	for reason := range refusal.Table {
 		if outcome := refusal.New(reason, "").WithDispatched().Rule().Outcome; outcome == refusal.NotRun {
-			t.Errorf("%s says not run after a dispatch", reason)
+			t.Errorf("reason %s has outcome not_run after a dispatch", reason)
 		}
 	}
 }
