--- a/internal/call/handler.go
+++ b/internal/call/handler.go
@@ -55,7 +55,7 @@
 	// Scope receives the metrics. If it is nil, no metrics are reported.
 	Scope tally.Scope
 	// Retries is the retry policy of idempotent calls. If it is nil, the handler
-	// creates a policy that it shares with nobody.
+	// creates its own policy.
 	Retries *retry.Policy
 
 	once      sync.Once
--- a/internal/call/keyed.go
+++ b/internal/call/keyed.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// recordTimeout is how long a response is delayed until its outcome is
-	// recorded. After that the caller gets the response, and recording continues
-	// in the background.
+	// recordTimeout is the maximum time for which a response is delayed while its
+	// outcome is recorded. After that the caller gets the response, and recording
+	// continues in the background.
 	recordTimeout = 500 * time.Millisecond
 	// awaitMargin is how long before its deadline a resend stops waiting for the
 	// outcome of the first call, so that its own response still arrives in time.
--- a/internal/record/book.go
+++ b/internal/record/book.go
@@ -61,7 +61,8 @@
 	// RetryUnknown counts writes whose response was lost, so that it is not known
 	// whether they took effect.
 	RetryUnknown Reason = "unknown"
-	// RetryCorrupt counts stored objects that could not be decoded.
+	// RetryCorrupt counts attempts that failed for any other reason, for example
+	// because a stored object could not be decoded.
 	RetryCorrupt Reason = "corrupt"
 	// RefusedFull counts changes that were refused because their shard was full.
 	RefusedFull Reason = "full"
@@ -236,7 +237,8 @@
 // Confirm returns nil if the owner of a claim may still dispatch the call. A claim
 // that was requested within the last second is valid. The entry of an older one,
 // for example after the process was paused, is read again, and the claim is valid
-// only if the entry is unchanged. Otherwise the error has kind Gone.
+// only if the entry is unchanged and not abandoned. The error has kind Gone if the
+// claim is not valid, and another kind if the entry could not be read.
 func (bk *Book) Confirm(ctx context.Context, cl Claim) error {
 	now := bk.Clock.Now()
 	// Round strips the monotonic clock reading. The larger of the two intervals
--- a/internal/record/shard.go
+++ b/internal/record/shard.go
@@ -18,8 +18,8 @@
 	pending []*change
 	running bool
 
-	// nextWrite and index are used only by the writer goroutine.
-	// nextWrite is the time at which the next write is due.
+	// nextWrite is the time at which the next write is due. It and index are used
+	// only by the writer goroutine.
 	nextWrite time.Time
 	index     *segmentIndex
 }
@@ -117,7 +117,7 @@
 
 // withoutSettled removes changes that no owner waits for any more. A begin whose
 // owner has stopped waiting and that may have been written is replaced by its
-// withdrawal. Outcomes are kept until their deadline.
+// withdrawal. Outcomes and withdrawals are kept until their deadline.
 func (sh *shard) withoutSettled(batch []*change) []*change {
 	now := sh.bk.Clock.Now()
 	kept := batch[:0]
