--- a/internal/call/fleet_test.go
+++ b/internal/call/fleet_test.go
@@ -83,8 +83,9 @@
 // messageDelay is the one-way delay of a message.
 const messageDelay = time.Millisecond
 
-// processStore is the platform as an instance reaches it. It fails once the
-// process is dead.
+// processStore is the platform store of one instance. It delays each message,
+// passes a boundary before and after each call, and fails once the process is
+// dead.
 type processStore struct {
 	platform.Store
 	in *instance
--- a/internal/call/handler.go
+++ b/internal/call/handler.go
@@ -1,4 +1,4 @@
-// Package call forwards requests of callers to the endpoints of plain services.
+// Package call forwards callers' HTTP requests to the endpoints of plain services.
 //
 // A call whose route is declared idempotent is retried. Any other call is sent
 // once, and another endpoint is tried only if no connection was made. If such a
@@ -63,7 +63,8 @@
 	latencies sync.Map // service name to *retry.Latency
 }
 
-// event is the label value of a counter for something other than a refusal.
+// event is a value of the label reason of the counter call_events. Refusals are
+// counted by package entry.
 type event string
 
 const (
@@ -176,8 +177,8 @@
 	}
 }
 
-// fingerprint returns a hash of the method, the target and the body. Calls
-// with the same content have the same fingerprint.
+// fingerprint returns a hash that is equal for calls with equal content. It
+// includes the target, so that calls without a body differ by their path.
 func fingerprint(method []byte, ta target, body []byte) uint64 {
 	di := xxhash.New()
 	for _, part := range []string{string(method), ta.service, ta.path, ta.query} {
--- a/internal/call/keyed.go
+++ b/internal/call/keyed.go
@@ -107,8 +107,9 @@
 	return an, err
 }
 
-// checkDispatch returns a refusal if the deadline has passed or the claim is no
-// longer valid. Confirm reads the record again only if the claim is old.
+// checkDispatch returns a refusal if the deadline has passed or the claim cannot
+// be confirmed. The deadline is checked again at the end because Confirm reads
+// the record if the claim is old, which takes time.
 func (kc *keyedCall) checkDispatch(cl record.Claim) error {
 	if err := kc.ha.checkDeadline(kc.outgoingCall); err != nil {
 		return err
--- a/internal/call/schedule_test.go
+++ b/internal/call/schedule_test.go
@@ -211,7 +211,7 @@
 func (ob observation) violation(runs []run, begun bool) string {
 	if ob.refused == nil {
 		if len(runs) == 0 || ob.answer != runs[0].answer || ob.body != runs[0].body {
-			return "got an answer that is not its call's"
+			return "got an answer that does not belong to its call"
 		}
 		return ""
 	}
@@ -222,7 +222,7 @@
 	// so the refusal is a violation only if the same body had already run.
 	ranBefore := len(runs) > 0 && runs[0].at.Before(ob.sentAt)
 	if ob.refused.Reason == refusal.KeyReused && ranBefore && runs[0].body == ob.body {
-		return "has the body that ran and was refused as reused"
+		return "was refused as reused although the same body had already run"
 	}
 	return ""
 }
--- a/internal/entry/filters.go
+++ b/internal/entry/filters.go
@@ -64,8 +64,8 @@
 }
 
 // setDeadline sets the deadline of the exchange from the Request-Timeout header,
-// a number of seconds. Without the header it is Timeout after arrival, and it is
-// at most MaxTimeout after arrival.
+// a number of seconds that is limited to MaxTimeout. Without the header the
+// deadline is Timeout after arrival.
 func (se *Server) setDeadline(next filter.Handler) filter.Handler {
 	return func(ex *filter.Exchange) error {
 		timeout := se.Timeout
@@ -85,9 +85,9 @@
 }
 
 // watchCaller cancels the context of the exchange when the caller closes its
-// connection. If the exchange then ends with DeadlinePassed, the refusal is
-// replaced by the actual cause: the caller that hung up, or the graceful shutdown
-// of the instance.
+// connection. Handlers report a canceled context as DeadlinePassed. Such a refusal
+// is replaced by the actual cause, which is that the caller hung up or that the
+// instance is shutting down.
 func (se *Server) watchCaller(next filter.Handler) filter.Handler {
 	return func(ex *filter.Exchange) error {
 		ctx, cancel := context.WithCancelCause(ex.Context)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -201,8 +201,8 @@
 	ctx.SetBody(er.ProblemOf(id, se.Instance))
 }
 
-// handleReadError answers a request that fasthttp could not read. The cases are
-// told apart by the texts of fasthttp's errors.
+// handleReadError answers a request that fasthttp could not read. It
+// distinguishes the cases by the texts of fasthttp's errors.
 func (se *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	if co, ok := ctx.Conn().(*steady.Conn); ok {
 		co.MarkUnread()
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -26,7 +26,8 @@
 type Exchange struct {
 	// HTTP is the request and the response to fill.
 	HTTP *fasthttp.RequestCtx
-	// Context ends at the deadline, or when the caller hangs up while queued.
+	// Context ends at the deadline, when the caller closes its connection, or
+	// when a graceful shutdown refuses the requests that still wait.
 	Context context.Context
 	// ID identifies the request in logs and explanations and at endpoints.
 	ID string
--- a/internal/record/book.go
+++ b/internal/record/book.go
@@ -47,7 +47,8 @@
 // prefix is the common prefix of the keys of all stored objects.
 const prefix = "records/"
 
-// Reason is the label value of a counter of failed or incomplete writes.
+// Reason is a value of the label reason of the counter record_events, which counts
+// failed and incomplete reads and writes.
 type Reason string
 
 // The reasons that a Book counts.
@@ -87,8 +88,8 @@
 	// instance to a shard. It limits the write rate of the fleet, and the latency
 	// that batching adds to a call. Zero means 100 ms.
 	WriteInterval time.Duration
-	// Retention is how long the outcome of a call is kept at least, counted from
-	// the deadline of the call. Zero means 24 h.
+	// Retention is the minimum time for which the outcome of a call is kept,
+	// counted from the deadline of the call. Zero means 24 h.
 	Retention time.Duration
 
 	once   sync.Once
@@ -216,7 +217,7 @@
 	return bk.readSealed(ctx, ch, re.sealedIn)
 }
 
-// readSealed reads the entry of a change from the segment with that key.
+// readSealed reads the entry of a change from the segment with the given key.
 func (bk *Book) readSealed(ctx context.Context, ch *change, key string) (Claim, error) {
 	list, err := readSegment(ctx, bk.Store, key)
 	if err != nil {
--- a/internal/record/change.go
+++ b/internal/record/change.go
@@ -40,7 +40,7 @@
 	// attempted means that a write that contains the change may have been sent.
 	attempted bool
 	// settled is set once, either by the shard when it has a result or by the
-	// owner when it stops waiting.
+	// requester when it stops waiting.
 	settled atomic.Bool
 	result  chan result
 }
@@ -58,8 +58,8 @@
 	return &change{op: op, entry: en, deadline: until, result: make(chan result, 1)}
 }
 
-// settle delivers the result and reports whether the owner was still waiting
-// for it.
+// settle delivers the result and reports whether the requester was still
+// waiting for it.
 func (ch *change) settle(re result) bool {
 	if !ch.settled.CompareAndSwap(false, true) {
 		return false
@@ -72,9 +72,9 @@
 // delivered already.
 func (ch *change) abandon() bool { return ch.settled.CompareAndSwap(false, true) }
 
-// apply applies the change to the page. It returns the result, which holds only
-// once the page is written, and whether the page must be written. sealed looks up
-// the key of the segment that holds an entry.
+// apply applies the change to the page. It returns the result, and whether the
+// page must be written before the result is valid. sealed looks up the key of the
+// segment that holds an entry.
 func (ch *change) apply(pg *page, sealed func(Hash) (string, bool), now time.Time) (result, bool) {
 	current, found := pg.get(ch.entry.ID)
 	if found && current.expired(now) {
--- a/internal/record/segment.go
+++ b/internal/record/segment.go
@@ -49,9 +49,10 @@
 	return key, found
 }
 
-// load reads the segments that are not in the index yet, and removes those that
-// the page no longer refers to. If reading one of them fails, the others stay in
-// the index, so that the next attempt has fewer to read.
+// load reads the segments that are not in the index yet, and removes from the
+// index those that the page no longer refers to. If reading one of them fails,
+// those that were read stay in the index, so that the next attempt has fewer to
+// read.
 func (si *segmentIndex) load(ctx context.Context, st platform.Store, refs []segmentRef) error {
 	referenced := make(map[string]bool, len(refs))
 	for _, re := range refs {
--- a/internal/record/shard.go
+++ b/internal/record/shard.go
@@ -115,9 +115,10 @@
 	sh.pending = append(left, sh.pending...)
 }
 
-// withoutSettled removes changes that no owner waits for any more. A begin whose
-// owner has stopped waiting and that may have been written is replaced by its
-// withdrawal. Outcomes and withdrawals are kept until their deadline.
+// withoutSettled removes changes that are past their deadline, and begins and
+// finds whose requester has stopped waiting. A begin that may have been written
+// is replaced by its withdrawal. Outcomes and withdrawals are kept until their
+// deadline, whether or not the requester still waits.
 func (sh *shard) withoutSettled(batch []*change) []*change {
 	now := sh.bk.Clock.Now()
 	kept := batch[:0]
@@ -208,8 +209,8 @@
 	return err
 }
 
-// settle delivers the results. A begin that was written although its owner had
-// stopped waiting is withdrawn.
+// settle delivers the results. A begin that was written although its requester
+// had stopped waiting is withdrawn.
 func (sh *shard) settle(done []*change, results []result) {
 	for ix, ch := range done {
 		if IsKind(results[ix].err, Full) {
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -9,7 +9,7 @@
 // the request.
 type ErrorKind string
 
-// The kinds of errors.
+// The kinds of error that a Pool reports.
 const (
 	// NotSent means that no byte of the request was sent, so that it has not run.
 	NotSent ErrorKind = "not_sent"
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -22,8 +22,8 @@
 	// idleMargin is subtracted from the idle timeout that an endpoint announces,
 	// so that no request is sent while the endpoint closes the connection.
 	idleMargin = 700 * time.Millisecond
-	// maxStaleAnswers is the maximum number of answers to earlier requests that
-	// are skipped.
+	// maxStaleAnswers is the maximum number of answers to earlier requests, and of
+	// interim responses, that are skipped before the answer to a request.
 	maxStaleAnswers = 2
 	// maxStaleBodyBytes is the maximum body size of a skipped answer.
 	maxStaleBodyBytes = 1 << 20
