--- a/internal/generation/attach.go
+++ b/internal/generation/attach.go
@@ -8,9 +8,10 @@
 
 // attach connects to the engine that runs a generation started by an earlier
 // request, at this or another instance. It tries the engine that the token names
-// first. A generation may have been continued elsewhere under the same token, so
-// it then tries the service's other engines that support continuation, and last
-// moves the generation to another engine if the request allows that.
+// first. If the token allows continuation, another engine may have continued the
+// generation under the same token, so attach then tries the service's other
+// engines that support continuation. Last, it moves the generation to another
+// engine if canMove allows that.
 func (se *session) attach(to Token) error {
 	se.dispatched = true
 	se.continuation = to.Continuation
@@ -37,8 +38,8 @@
 	return se.moveAndRecover(firstErr)
 }
 
-// moveAndRecover moves the generation to another engine and recovers from
-// failures of the move.
+// moveAndRecover starts the generation, or moves it to another engine, and recovers
+// from failures of that.
 func (se *session) moveAndRecover(cause error) error {
 	err := se.move(cause)
 	if err == nil {
@@ -50,8 +51,8 @@
 	return se.recover(err)
 }
 
-// attachTo connects to the generation at one engine. It retries up to maxResumes
-// times if the connection breaks or times out.
+// attachTo connects to the generation at one engine. It makes up to maxResumes
+// attempts if the connection breaks or times out.
 func (se *session) attachTo(name string) error {
 	re := se.re
 	re.Only = name
--- a/internal/generation/caller_test.go
+++ b/internal/generation/caller_test.go
@@ -50,7 +50,7 @@
 // send sends a request. If a token was received, the request has a Last-Event-ID.
 func (ca *caller) send(method string) { ca.sendWithin(context.Background(), method) }
 
-// sendWithin is send with the parent context of the request.
+// sendWithin is like send, with the given parent context of the request.
 func (ca *caller) sendWithin(parent context.Context, method string) {
 	ctx := &fasthttp.RequestCtx{}
 	var req fasthttp.Request
--- a/internal/generation/cost_test.go
+++ b/internal/generation/cost_test.go
@@ -58,7 +58,7 @@
 	return re
 }
 
-// newRecordedRelayConn is newRecordedRelay, and also returns the connection.
+// newRecordedRelayConn is like newRecordedRelay, and also returns the connection.
 func newRecordedRelayConn(tb testing.TB, answer []byte, maxRead int) (*relay, *recordedConn) {
 	tb.Helper()
 	rc := &recordedConn{answer: bytes.NewReader(answer), maxRead: maxRead}
--- a/internal/generation/document.go
+++ b/internal/generation/document.go
@@ -12,7 +12,7 @@
 )
 
 // chunk holds the fields of an engine's event that make up the text of an
-// unstreamed response.
+// non-streaming response.
 type chunk struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -28,7 +28,7 @@
 	Content string `json:"content"`
 }
 
-// choice is the only choice of an unstreamed response. Text is set for
+// choice is the only choice of a non-streaming response. Text is set for
 // completions, Message for chat requests.
 type choice struct {
 	Index        int      `json:"index"`
@@ -37,12 +37,12 @@
 	FinishReason string   `json:"finish_reason"`
 }
 
-// usage is the token count of an unstreamed response.
+// usage is the token count of a non-streaming response.
 type usage struct {
 	CompletionTokens int64 `json:"completion_tokens"`
 }
 
-// document is the body of an unstreamed response.
+// document is the body of a non-streaming response.
 type document struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// documentRefusal returns the refusal for an unstreamed response that failed with
+// documentRefusal returns the refusal for a non-streaming response that failed with
 // err. When the instance is shutting down, it includes the path at which the
 // generation can be resumed.
 func documentRefusal(se *session, token string, err error) error {
--- a/internal/generation/drain.go
+++ b/internal/generation/drain.go
@@ -53,7 +53,7 @@
 	gauge   tally.Gauge
 }
 
-// initStreams creates the register and the metrics on first use.
+// initStreams creates the set of open responses and the metrics on first use.
 func (ha *Handler) initStreams() {
 	ha.streams.once.Do(func() {
 		scope := ha.Scope
@@ -67,9 +67,9 @@
 	})
 }
 
-func (ha *Handler) countRetry(what step) { ha.streams.retries[what].Inc(1) }
+func (ha *Handler) countRetry(action step) { ha.streams.retries[action].Inc(1) }
 
-func (ha *Handler) countEnd(how streamEnd) { ha.streams.ends[how].Inc(1) }
+func (ha *Handler) countEnd(end streamEnd) { ha.streams.ends[end].Inc(1) }
 
 func (ha *Handler) trackStream(re *relay) {
 	ha.streams.mu.Lock()
@@ -97,9 +97,10 @@
 	return len(ha.streams.open)
 }
 
-// HandOver ends all open streams with an event that tells the caller how to
-// resume, and returns their number. The generations keep running at their
-// engines. Responses that open later are ended in the same way.
+// HandOver ends all open responses and returns their number. A stream ends with an
+// event that tells the caller how to resume, and a non-streaming response with a
+// refusal that holds the path at which to resume. The generations keep running at
+// their engines. Responses that open later are ended in the same way.
 func (ha *Handler) HandOver() int {
 	ha.initStreams()
 	ha.streams.mu.Lock()
--- a/internal/generation/event.go
+++ b/internal/generation/event.go
@@ -14,8 +14,8 @@
 	waitingEvent = []byte(": waiting\n\n")
 )
 
-// appendEvent appends a token as a server-sent event whose id is
-// "<token>/<offset>".
+// appendEvent appends an engine's event as a server-sent event to the caller. Its id
+// is "<token>/<offset>", where token is the signed generation id.
 func appendEvent(line []byte, token string, ev *endpoint.Event) []byte {
 	line = append(line, "id: "...)
 	line = append(line, token...)
@@ -43,8 +43,8 @@
 	LastEventID string `json:"last_event_id,omitempty"`
 }
 
-// appendHandover appends the event that tells the caller how to resume. Offset
-// is that of the next token.
+// appendHandover appends the event that tells the caller how to resume. The given
+// offset is that of the next token of text, and token is the signed generation id.
 func appendHandover(line []byte, token string, offset int64) []byte {
 	ho := handover{Path: eventsPath(token)}
 	if offset > 0 {
--- a/internal/generation/fake_test.go
+++ b/internal/generation/fake_test.go
@@ -38,14 +38,15 @@
 var faults = []fault{faultSilence, faultCut, faultCrossed, faultDuplicate, faultSkip, faultFail, faultRefuse}
 
 // engine is a fake model engine that serves the published protocol. It responds in
-// the goroutine of the reader, and a fault of silence is a timeout without delay.
+// the goroutine of the reader. For faultSilence, a read fails with a timeout at once.
 type engine struct {
 	kind.Endpoint
 	up bool
 	// running maps the ids of the started generations to their seeds.
 	running map[string]string
-	// restarts counts restarts. It is part of the text of an engine that cannot
-	// continue, so that a second run of a generation differs from the first.
+	// restarts counts the engine's restarts. It is part of the text of an engine
+	// that cannot continue, so that a second run of a generation differs from the
+	// first.
 	restarts int
 	// faults are the faults still to be shown, in this order.
 	faults []fault
@@ -184,8 +185,8 @@
 // generationLength is the number of tokens of every generation.
 const generationLength = 12
 
-// autoClock is a fake clock that Sleep advances without delay. Expired timers run in
-// the goroutine that advances the clock.
+// autoClock is a fake clock. Sleep advances it and returns at once. Expired timers
+// run in the goroutine that advances the clock.
 type autoClock struct {
 	*clockwork.FakeClock
 	timers []*pendingTimer
--- a/internal/generation/fuzz_test.go
+++ b/internal/generation/fuzz_test.go
@@ -8,7 +8,7 @@
 )
 
 // FuzzDecode: a body must either be refused with outcome not_run or have a model, a
-// prompt and a valid token limit.
+// prompt and a max_tokens that is not negative.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"model":"filbert","prompt":"p","stream":true,"max_tokens":5}`), false)
 	f.Add([]byte(`{"model":"filbert","messages":[{"role":"user","content":"c"}]}`), true)
--- a/internal/generation/handler.go
+++ b/internal/generation/handler.go
@@ -108,7 +108,7 @@
 	ge.Seed = seedOf(ge.ID)
 	se := ha.newSession(ex.Context, ex.Configuration, re, ge)
 	se.request = requestHash(ge.Path, ge.Body)
-	se.unstreamed = !co.Stream
+	se.nonStreaming = !co.Stream
 	if err := se.start(); err != nil {
 		return err
 	}
@@ -142,12 +142,12 @@
 // Without the request body, the generation cannot move to another engine.
 func (ha *Handler) Resume(ex *filter.Exchange) error {
 	ha.initStreams()
-	text, _ := strings.CutSuffix(strings.TrimPrefix(string(ex.HTTP.Path()), "/v1/generations/"), "/events")
-	to, err := ha.openToken(ex, text)
+	token, _ := strings.CutSuffix(strings.TrimPrefix(string(ex.HTTP.Path()), "/v1/generations/"), "/events")
+	to, err := ha.openToken(ex, token)
 	if err != nil {
 		return err
 	}
-	offset, err := resumeOffset(string(ex.HTTP.Request.Header.Peek(lastEventIDHeader)), text)
+	offset, err := resumeOffset(string(ex.HTTP.Request.Header.Peek(lastEventIDHeader)), token)
 	if err != nil {
 		return err
 	}
@@ -158,12 +158,12 @@
 // resumeWithBody resumes the generation of lastEventID for a repeated request. The
 // request must be equal to the one that created the generation.
 func (ha *Handler) resumeWithBody(ex *filter.Exchange, re admission.Request, ge endpoint.Generation, lastEventID string, stream bool) error {
-	text, _, _ := splitEventID(lastEventID)
-	to, err := ha.openToken(ex, text)
+	token, _, _ := splitEventID(lastEventID)
+	to, err := ha.openToken(ex, token)
 	if err != nil {
 		return err
 	}
-	offset, err := resumeOffset(lastEventID, text)
+	offset, err := resumeOffset(lastEventID, token)
 	if err != nil {
 		return err
 	}
@@ -206,9 +206,9 @@
 	if lastEventID == "" {
 		return 0, nil
 	}
-	of, text, ok := splitEventID(lastEventID)
-	offset, err := strconv.ParseInt(text, 10, 64)
-	if !ok || of != token || err != nil || offset < 0 || offset >= maxTokens {
+	eventToken, offsetText, ok := splitEventID(lastEventID)
+	offset, err := strconv.ParseInt(offsetText, 10, 64)
+	if !ok || eventToken != token || err != nil || offset < 0 || offset >= maxTokens {
 		return 0, refusal.New(refusal.BadRequest, "Last-Event-ID must be the id of an event of this generation")
 	}
 	return offset + 1, nil
@@ -223,8 +223,9 @@
 	}
 }
 
-// answer responds with the generation, as a stream or as one document. A resumed
-// generation keeps the caller's token to. It is nil for a new generation.
+// answer responds with the generation, as a stream or as one document. For a
+// resumed generation, to is the token that the caller sent, which the response
+// keeps using. For a new generation, to is nil.
 func (ha *Handler) answer(ex *filter.Exchange, se *session, to *Token, stream bool) error {
 	se.detach()
 	re := &relay{se: se, line: make([]byte, 0, initialLineBytes)}
--- a/internal/generation/path_test.go
+++ b/internal/generation/path_test.go
@@ -71,8 +71,8 @@
 	return ln
 }
 
-// startEngine starts a stand-in engine that runs op.Sequences generations at once,
-// and returns its endpoint and a function that stops it.
+// startEngine starts a stand-in engine that runs up to op.Sequences generations at
+// once, and returns its endpoint and a function that stops it.
 func startEngine(op standin.EngineOptions) (kind.Endpoint, func()) {
 	op.MemoryTokens, op.ColdSequences, op.WarmTokens = 1<<24, op.Sequences, 1
 	ln := listen()
@@ -282,9 +282,9 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		Expect(one.server.Ready()).To(BeTrue())
-		handed, err := one.server.Stop(ctx)
+		handedOver, err := one.server.Stop(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(handed).To(Equal(1))
+		Expect(handedOver).To(Equal(1))
 		Expect(one.counter("stream_ends", "handover")()).To(BeEquivalentTo(1))
 		Expect(one.server.Ready()).To(BeFalse())
 		answer, err := io.ReadAll(waiting)
--- a/internal/generation/recovery.go
+++ b/internal/generation/recovery.go
@@ -103,8 +103,8 @@
 
 // canRejoin reports whether the granted engine may still run the generation. An
 // engine that reported a failure to start it does not. An engine that refuses
-// connections has probably crashed, so it is tried again only if the generation
-// cannot move to another one.
+// connections has probably crashed. It is tried again only if the generation cannot
+// move to another one, because then a few more attempts cost little.
 func (se *session) canRejoin(cause error) bool {
 	switch {
 	case endpoint.IsKind(cause, endpoint.Lost), endpoint.IsKind(cause, endpoint.Silent), endpoint.IsKind(cause, endpoint.Crossed):
@@ -123,7 +123,7 @@
 // Otherwise the caller would receive tokens of a second, unrelated generation.
 func (se *session) canMove() bool {
 	withinLimits := se.ge.Body != nil && se.engines < maxEngines && se.moves < maxMoves
-	return withinLimits && (se.offset == 0 || se.continuation || se.unstreamed)
+	return withinLimits && (se.offset == 0 || se.continuation || se.nonStreaming)
 }
 
 // withinRetryBudget reports whether the service's retry budget allows one more
@@ -148,8 +148,9 @@
 	return again
 }
 
-// rejoin reconnects to the granted engine. If the engine has not answered yet,
-// the start is repeated. This is idempotent, because it carries the same id.
+// rejoin reconnects to the granted engine. If the engine has not answered yet, the
+// start is repeated. This is idempotent: the id is the same, so an engine that
+// received the first start connects the call to that generation.
 func (se *session) rejoin() error {
 	se.resumes++
 	se.ha.Clock.Sleep(resumePause)
@@ -160,8 +161,8 @@
 }
 
 // move starts or continues the generation at another engine and excludes the
-// current one. An engine that no longer knows the generation is not excluded: it
-// has restarted and is available again.
+// current one, if there is one. An engine that no longer knows the generation is
+// not excluded: it has restarted and is available again.
 func (se *session) move(cause error) error {
 	if se.gr != nil {
 		if !endpoint.IsKind(cause, endpoint.Gone) {
--- a/internal/generation/relay.go
+++ b/internal/generation/relay.go
@@ -10,7 +10,8 @@
 	"filbertstall.example/filbertstall/internal/refusal"
 )
 
-// The causes of a session's interrupt that end the stream before the generation.
+// The causes with which session.interrupt ends a response before the generation has
+// ended. A passed deadline is another one, in the form of a refusal.
 var (
 	errCallerGone = errors.New("generation: caller hung up")
 	errCallerSlow = errors.New("generation: caller reads too slowly")
--- a/internal/generation/session.go
+++ b/internal/generation/session.go
@@ -47,13 +47,13 @@
 	// resumes counts the reconnections to the granted engine since the last token.
 	resumes int
 	// engines counts the engines that may have started the generation, moves
-	// all attempted moves, and grants all requests for a grant. The last one is
-	// part of the grant's id.
+	// counts all attempted moves including the first start, and grants counts
+	// all requests for a grant. The value of grants is part of each grant's id.
 	engines, moves, grants int
-	// unstreamed is set if the caller receives the response only when it is
+	// nonStreaming is set if the caller receives the response only when it is
 	// complete, so that the generation may restart at any time. restarted is set
-	// by such a restart and cleared once collect has discarded the earlier text.
-	unstreamed, restarted bool
+	// by a restart that drops text and is cleared once collect has discarded it.
+	nonStreaming, restarted bool
 
 	// mu guards changes of st, and its use by interrupt.
 	mu sync.Mutex
@@ -134,8 +134,9 @@
 	se.ha.Granter.Release(gr, admission.Outcome{Result: result, Tokens: se.offset, Elapsed: se.ha.Clock.Since(se.grantedAt)})
 }
 
-// generate starts the generation at the granted engine. If the engine already
-// runs it because the response to an earlier start was lost, it connects to it.
+// generate starts the generation at the granted engine. If the engine already runs
+// the generation, because the response to an earlier start was lost, generate
+// connects to it.
 func (se *session) generate() error {
 	ge := se.ge
 	ge.Priority = se.gr.Priority
@@ -222,7 +223,7 @@
 	se.offset = ev.Offset + 1
 	se.resumes = 0
 	se.gr.Tokens.Store(se.offset)
-	if !se.continuation && !se.unstreamed {
+	if !se.continuation && !se.nonStreaming {
 		se.ge.Body = nil
 	}
 }
--- a/internal/generation/token.go
+++ b/internal/generation/token.go
@@ -38,8 +38,8 @@
 	Key []byte
 }
 
-// ErrToken is returned for a token that is malformed, forged or expired. The
-// cases are not told apart.
+// ErrToken is returned for a token that is malformed, forged or expired. It does
+// not say which.
 var ErrToken = errors.New("generation: token is malformed, forged or expired")
 
 // Sign returns the signed token as text that is safe in a URL path.
