--- a/internal/configuration/bundle.go
+++ b/internal/configuration/bundle.go
@@ -11,21 +11,22 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// The number of shards of each kind. An object's shard follows from its name,
-// so that one change rewrites one shard.
+// Number of shards per kind. The shard of an object is chosen by the hash of
+// its name, so a change of one object rewrites one shard only.
 const (
 	teamShards     = 4
 	endpointShards = 16
 )
 
-// Bundle is a head with the content of its shards. It is immutable.
+// Bundle is a head together with the content of its shards. It is immutable.
 type Bundle struct {
 	Head   Head
 	shards map[string][]byte
 	cf     *kind.Configuration
 }
 
-// Pack makes a bundle of a configuration and its version.
+// Pack encodes a configuration as a bundle of the same version. The head has
+// no plan progress (Moves).
 func Pack(cf *kind.Configuration) (*Bundle, error) {
 	doc := cf.Document()
 	parts := []kind.Document{
@@ -69,7 +70,10 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Unpack joins a head and its shards and checks both. The map may hold more.
+// Unpack builds a bundle from a head and its shards, verifies the hash of each
+// shard and validates the configuration. The map may hold other shards too. An
+// error of kind Incomplete means that a shard is missing from the map, and one
+// of kind Damaged that a shard does not match its hash or cannot be decoded.
 func Unpack(he Head, shards map[string][]byte) (*Bundle, error) {
 	bu := &Bundle{Head: he, shards: make(map[string][]byte, len(he.Shards))}
 	doc := kind.Document{Version: he.Version}
@@ -97,11 +101,11 @@
 	return bu, err
 }
 
-// Configuration returns the configuration that the bundle holds.
+// Configuration returns the decoded configuration.
 func (bu *Bundle) Configuration() *kind.Configuration { return bu.cf }
 
-// Next returns the bundle of the following version: another configuration, and
-// a move that the head remembers.
+// Next returns a bundle of the next version that holds cf. The head records mo
+// as the progress of its plan.
 func (bu *Bundle) Next(cf *kind.Configuration, mo Move) (*Bundle, error) {
 	next, err := Pack(cf.WithVersion(bu.Head.Version + 1))
 	if err != nil {
@@ -111,8 +115,9 @@
 	return next, nil
 }
 
-// Lacking returns the hashes that the head names and known does not hold.
-func (he Head) Lacking(known map[string][]byte) []string {
+// MissingShards returns the hashes of the head's shards that are not keys of
+// known.
+func (he Head) MissingShards(known map[string][]byte) []string {
 	var lacking []string
 	for _, hash := range he.Shards {
 		if _, found := known[hash]; !found {
@@ -122,7 +127,7 @@
 	return lacking
 }
 
-// shardsOf returns the shards of a bundle that may be nil.
+// shardsOf returns the shards of a bundle, or nil if the bundle is nil.
 func shardsOf(bu *Bundle) map[string][]byte {
 	if bu == nil {
 		return nil
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -22,8 +22,9 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// large has the sizes that the system is built for.
-func large(t testing.TB) *kind.Configuration {
+// fullSizeConfiguration returns a configuration of the size that the system is
+// designed for: 290 teams and 1200 endpoints.
+func fullSizeConfiguration(t testing.TB) *kind.Configuration {
 	t.Helper()
 	doc := kind.Document{
 		Version: 1, Zones: []kind.Zone{{Name: "dalseo", Region: "yeongnam", State: kind.ZoneServing}},
@@ -46,12 +47,13 @@
 	return cf
 }
 
-// No object comes near the platform's largest value, and one change writes one
-// shard and the head.
+// Scenario: a configuration of full size is published and one endpoint changes.
+// No object exceeds a quarter of the largest value that the platform accepts,
+// and the change writes one shard and the head only.
 func TestShardsAtFullSize(t *testing.T) {
 	ctx, store := t.Context(), platformfake.New()
-	cf := large(t)
-	object, err := configuration.Publish(ctx, store, 0, cf)
+	cf := fullSizeConfiguration(t)
+	headObjectVersion, err := configuration.Publish(ctx, store, 0, cf)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +63,7 @@
 	}
 	t.Logf("1200 endpoints and 290 teams: %d bytes, the largest object has %d", total, biggest)
 	if biggest > platform.MaxValueBytes/4 {
-		t.Errorf("an object of %d bytes", biggest)
+		t.Errorf("the largest object has %d bytes, want at most a quarter of platform.MaxValueBytes", biggest)
 	}
 	bu, _, err := configuration.Read(ctx, store, nil)
 	if err != nil {
@@ -77,21 +79,21 @@
 		t.Fatal(err)
 	}
 	_, before := store.Calls()
-	if _, err := configuration.PublishBundle(ctx, store, object, next, bu); err != nil {
+	if _, err := configuration.PublishBundle(ctx, store, headObjectVersion, next, bu); err != nil {
 		t.Fatal(err)
 	}
 	if _, writes := store.Calls(); writes-before != 2 {
-		t.Errorf("one change took %d writes", writes-before)
+		t.Errorf("one change took %d writes, want 2", writes-before)
 	}
 }
 
 func TestUnpackRefusesWhatIsDamaged(t *testing.T) {
 	he := configuration.Head{Version: 1, Shards: []string{"abc"}}
 	if _, err := configuration.Unpack(he, nil); !configuration.IsKind(err, configuration.Incomplete) {
-		t.Errorf("a missing shard: %v", err)
+		t.Errorf("missing shard: got error %v, want kind Incomplete", err)
 	}
 	if _, err := configuration.Unpack(he, map[string][]byte{"abc": []byte("{}")}); !configuration.IsKind(err, configuration.Damaged) {
-		t.Errorf("a shard with another hash: %v", err)
+		t.Errorf("shard that does not match its hash: got error %v, want kind Damaged", err)
 	}
 }
 
@@ -108,39 +110,40 @@
 	return bu
 }
 
-// In whatever order versions arrive, the one in force only rises, requests see
-// the same one, and another configuration of the same version is reported.
+// Scenario: versions arrive in any order. The version in force never falls,
+// requests see the same version, and a different configuration of the version in
+// force is reported as diverged.
 func TestStateOnlyRises(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		holder := new(snapshot.Holder[kind.Configuration])
 		st := &configuration.State{Holder: holder, Log: zerolog.Nop()}
-		seen := make(map[int64]int)
-		var top int64
+		weights := make(map[int64]int)
+		var highest int64
 		diverged := false
 		for range rapid.IntRange(1, 30).Draw(rt, "arrivals") {
 			version, weight := rapid.Int64Range(1, 8).Draw(rt, "version"), rapid.IntRange(1, 2).Draw(rt, "weight")
 			applied := st.Apply(bundle(rt, version, weight), configuration.FromPlatform)
-			if applied != (version > top) {
-				rt.Fatalf("version %d over %d: applied %t", version, top, applied)
+			if applied != (version > highest) {
+				rt.Fatalf("version %d arrives while %d is in force: Apply returned %t", version, highest, applied)
 			}
-			if version > top {
-				top, seen[version] = version, weight
-			} else if version == top && seen[version] != weight {
+			if version > highest {
+				highest, weights[version] = version, weight
+			} else if version == highest && weights[version] != weight {
 				diverged = true
 			}
 			te, _ := holder.Load().Team("analysts")
-			if st.Version() != top || holder.Load().Version() != top || te.Weight != seen[top] {
-				rt.Fatalf("version %d with weight %d is served where %d with %d is due", holder.Load().Version(), te.Weight, top, seen[top])
+			if st.Version() != highest || holder.Load().Version() != highest || te.Weight != weights[highest] {
+				rt.Fatalf("got version %d with weight %d in force, want version %d with weight %d", holder.Load().Version(), te.Weight, highest, weights[highest])
 			}
 			if st.Standing().Diverged != diverged || st.Standing().PlatformVersion != version {
-				rt.Fatalf("standing %+v", st.Standing())
+				rt.Fatalf("Diverged or PlatformVersion is wrong: got standing %+v", st.Standing())
 			}
 		}
 	})
 }
 
-// Of writers that race for the same head exactly one succeeds, also when
-// answers are lost, and its bundle is what readers get.
+// Scenario: several writers update the same head, also with lost responses from
+// the store. Exactly one succeeds, and readers get its bundle.
 func TestPublishHasOneWinner(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx, store := context.Background(), platformfake.New()
@@ -148,7 +151,7 @@
 			store.SetFault(platformfake.LoseAnswers)
 		}
 		first := bundle(rt, 1, 1)
-		object, err := configuration.PublishBundle(ctx, store, 0, first, nil)
+		headObjectVersion, err := configuration.PublishBundle(ctx, store, 0, first, nil)
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -156,9 +159,9 @@
 		winner := -1
 		for ix := range writers {
 			next := bundle(rt, 2, 2+ix)
-			_, err := configuration.PublishBundle(ctx, store, object, next, first)
+			_, err := configuration.PublishBundle(ctx, store, headObjectVersion, next, first)
 			if err == nil && winner >= 0 {
-				rt.Fatalf("writers %d and %d both won", winner, ix)
+				rt.Fatalf("writers %d and %d both succeeded", winner, ix)
 			}
 			if err == nil {
 				winner = ix
@@ -171,7 +174,7 @@
 			rt.Fatal(err)
 		}
 		if te, _ := bu.Configuration().Team("analysts"); winner < 0 || te.Weight != 2+winner {
-			rt.Fatalf("writer %d won and weight %d is kept", winner, te.Weight)
+			rt.Fatalf("writer %d succeeded, but the store has weight %d", winner, te.Weight)
 		}
 	})
 }
--- /dev/null
+++ b/internal/configuration/distribution.go
@@ -0,0 +1,276 @@
+package configuration
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+	"github.com/rs/zerolog"
+
+	"filbertstall.example/filbertstall/internal/peer"
+)
+
+// ServiceName is the RPC name under which Service is registered with a
+// peer.Server.
+const ServiceName = "Configuration"
+
+const (
+	// noticeTimeout limits the wait for the acknowledgement of a notice.
+	// noticeAttempts limits how often the notice is sent.
+	noticeTimeout  = 300 * time.Millisecond
+	noticeAttempts = 6
+)
+
+// fetchRetryInterval is the time between the starts of two attempts to fetch a
+// version.
+const fetchRetryInterval = 300 * time.Millisecond
+
+// fetchTimeouts are the timeouts of the attempts to fetch a version. The first
+// is short, so that an unresponsive connection is dropped before the second
+// attempt. The last ones leave time for a whole configuration over a slow link.
+var fetchTimeouts = []time.Duration{
+	fetchRetryInterval, 2 * fetchRetryInterval, 4 * fetchRetryInterval, 8 * fetchRetryInterval, 8 * fetchRetryInterval, 8 * fetchRetryInterval,
+}
+
+// Peer is another instance. Address is that of its peer listener.
+type Peer struct {
+	Name    string
+	Zone    string
+	Address string
+}
+
+// Peers selects the gossip recipients of a new version.
+type Peers interface {
+	// ZonePeers returns the other instances of the own zone.
+	ZonePeers() []Peer
+	// FarPeers returns a few instances of each other zone.
+	FarPeers() []Peer
+}
+
+// Notice announces the version in force at the sender. Zone and Address are
+// those of the sender.
+type Notice struct {
+	Version int64
+	Zone    string
+	Address string
+}
+
+// FetchArgs is a request for the bundle in force.
+type FetchArgs struct {
+	// Have holds the hashes of the shards that the caller already has. They are
+	// left out of the reply.
+	Have []string
+}
+
+// FetchReply is a bundle without the shards that the caller already has. The
+// keys of Shards are hashes.
+type FetchReply struct {
+	Head   Head
+	Shards map[string][]byte
+}
+
+// Spreader is the controller that distributes the configuration between
+// instances: it announces new versions and fetches those announced by others.
+// Set the fields before Run.
+type Spreader struct {
+	State  *State
+	Peers  Peers
+	Caller peer.Caller
+	Clock  clockwork.Clock
+	Log    zerolog.Logger
+	// Zone and Address are the zone and the peer address of this instance.
+	Zone    string
+	Address string
+
+	mu           sync.Mutex
+	fetching     bool
+	newestNotice Notice
+	fetchPending bool
+	ctx          context.Context //nolint:containedctx // limits the fetches that notices start
+}
+
+// Name implements controller.Controller.
+func (sp *Spreader) Name() string { return "spread" }
+
+// Run announces each new version to other instances until ctx ends. An instance
+// that received the version from outside its zone notifies its zone. One that
+// read it from the platform also notifies a few instances of each other zone.
+func (sp *Spreader) Run(ctx context.Context) error {
+	sp.mu.Lock()
+	sp.ctx = ctx
+	sp.mu.Unlock()
+	var announced int64
+	for ctx.Err() == nil {
+		changed, source := sp.State.Changed()
+		if version := sp.State.Version(); version > announced {
+			announced = version
+			sp.announce(ctx, version, source)
+			continue
+		}
+		select {
+		case <-ctx.Done():
+		case <-changed:
+		}
+	}
+	return nil
+}
+
+func (sp *Spreader) announce(ctx context.Context, version int64, source Source) {
+	var recipients []Peer
+	if source != FromZone {
+		recipients = sp.Peers.ZonePeers()
+	}
+	if source == FromPlatform {
+		recipients = append(recipients, sp.Peers.FarPeers()...)
+	}
+	no := Notice{Version: version, Zone: sp.Zone, Address: sp.Address}
+	for _, pe := range recipients {
+		go sp.notify(ctx, pe, no)
+	}
+}
+
+// notify sends a notice until it is acknowledged, a newer version is in force,
+// or all attempts have failed. In the last case the peer learns of the version
+// from the next membership digest.
+func (sp *Spreader) notify(ctx context.Context, pe Peer, no Notice) {
+	for range noticeAttempts {
+		var ok bool
+		if sp.call(ctx, noticeTimeout, pe.Address, "Notify", no, &ok) == nil {
+			return
+		}
+		sp.State.count(NoticeUnanswered)
+		if ctx.Err() != nil || sp.State.Version() > no.Version {
+			return
+		}
+	}
+}
+
+func (sp *Spreader) call(ctx context.Context, timeout time.Duration, address, method string, args, reply any) error {
+	ctx, cancel := clockwork.WithTimeout(ctx, sp.Clock, timeout)
+	defer cancel()
+	return sp.Caller.Call(ctx, address, ServiceName+"."+method, args, reply)
+}
+
+// Seen handles the announcement of a version by another instance. If the
+// version is higher than the one in force, it starts to fetch it in the
+// background.
+func (sp *Spreader) Seen(no Notice) {
+	if no.Version <= sp.State.Version() {
+		return
+	}
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
+	if sp.ctx == nil {
+		return
+	}
+	if sp.fetching {
+		sp.fetchPending = sp.fetchPending || no.Version > sp.newestNotice.Version
+		if sp.fetchPending {
+			sp.newestNotice = no
+		}
+		return
+	}
+	sp.fetching, sp.newestNotice, sp.fetchPending = true, no, false
+	go sp.fetchUntilCurrent(sp.ctx, no)
+}
+
+// fetchUntilCurrent fetches the announced version, and then any higher version
+// that was announced in the meantime.
+func (sp *Spreader) fetchUntilCurrent(ctx context.Context, no Notice) {
+	for {
+		sp.fetchWithRetries(ctx, no)
+		sp.mu.Lock()
+		if !sp.fetchPending {
+			sp.fetching = false
+			sp.mu.Unlock()
+			return
+		}
+		sp.fetchPending = false
+		no = sp.newestNotice
+		sp.mu.Unlock()
+	}
+}
+
+// fetchWithRetries starts a fetch, and a further one after each
+// fetchRetryInterval in which no new version came into force. If all of them
+// fail, the next membership digest of any instance starts over.
+func (sp *Spreader) fetchWithRetries(ctx context.Context, no Notice) {
+	for _, timeout := range fetchTimeouts {
+		changed, _ := sp.State.Changed()
+		if ctx.Err() != nil || sp.State.Version() >= no.Version {
+			return
+		}
+		go func() {
+			if err := sp.fetch(ctx, timeout, no); err != nil {
+				sp.State.count(FetchFailed)
+				sp.Log.Warn().Err(err).Str("peer", no.Address).Msg("configuration: cannot fetch the announced version from the peer")
+			}
+		}()
+		select {
+		case <-ctx.Done():
+		case <-changed:
+		case <-sp.Clock.After(fetchRetryInterval):
+		}
+	}
+}
+
+func (sp *Spreader) fetch(ctx context.Context, timeout time.Duration, no Notice) error {
+	known := sp.State.Bundle()
+	var have []string
+	if known != nil {
+		have = known.Head.Shards
+	}
+	var re FetchReply
+	if err := sp.call(ctx, timeout, no.Address, "Fetch", FetchArgs{Have: have}, &re); err != nil {
+		return err
+	}
+	shards := make(map[string][]byte, len(re.Head.Shards))
+	for _, from := range []map[string][]byte{shardsOf(known), re.Shards} {
+		for hash, data := range from {
+			shards[hash] = data
+		}
+	}
+	bu, err := Unpack(re.Head, shards)
+	if err != nil {
+		return err
+	}
+	source := FromOtherZone
+	if no.Zone == sp.Zone {
+		source = FromZone
+	}
+	sp.State.Apply(bu, source)
+	return nil
+}
+
+// Service is the RPC service that other instances call.
+type Service struct {
+	State    *State
+	Spreader *Spreader
+}
+
+// Notify receives the announcement of a version and acknowledges it with true.
+func (se *Service) Notify(no Notice, ok *bool) error {
+	*ok = true
+	se.Spreader.Seen(no)
+	return nil
+}
+
+// Fetch returns the bundle in force. It fails with an error of kind Incomplete
+// if there is none yet.
+func (se *Service) Fetch(args FetchArgs, re *FetchReply) error {
+	bu := se.State.Bundle()
+	if bu == nil {
+		return &Error{Op: "fetch", Kind: Incomplete}
+	}
+	have := make(map[string][]byte, len(args.Have))
+	for _, hash := range args.Have {
+		have[hash] = nil
+	}
+	re.Head = bu.Head
+	re.Shards = make(map[string][]byte)
+	for _, hash := range bu.Head.MissingShards(have) {
+		re.Shards[hash] = bu.shards[hash]
+	}
+	return nil
+}
--- a/internal/configuration/doc.go
+++ b/internal/configuration/doc.go
@@ -1,20 +1,24 @@
-// Package configuration keeps the newest accepted configuration in force.
+// Package configuration distributes the newest accepted configuration to all
+// instances and keeps it in force there.
 //
-// In the platform a configuration is a Head, which changes by conditional
-// update, and the shards that it names by the hash of their content. A Bundle
-// is both together; Pack makes one of a configuration, Publish writes it.
+// The platform stores a configuration as a Head, which is changed by
+// compare-and-set, and as shards, which the head names by the hash of their
+// content. A Bundle is a head with its shards. Pack builds a bundle from a
+// configuration, and Publish writes it to the platform.
 //
 // On each instance a State holds the bundle in force and never goes back to a
-// lower version. A Watcher feeds it from the platform on a few instances of
-// each zone; a Spreader passes it on between instances and pulls it from any
-// instance that shows a higher version.
+// lower version. On a few instances of each zone, a Watcher reads new versions
+// from the platform. A Spreader notifies other instances of a new version and
+// fetches it from any instance that has a higher one.
 //
 // # Usage
 //
 //	st := &configuration.State{Holder: &holder, Log: log}
 //	wa := &configuration.Watcher{Store: store, State: st, Clock: clock, Log: log}
 //	sp := &configuration.Spreader{State: st, Peers: peers, Caller: client, Clock: clock, Log: log}
-//	err := server.Register(configuration.ServiceName, &configuration.Service{State: st, Spreader: sp})
+//	if err := server.Register(configuration.ServiceName, &configuration.Service{State: st, Spreader: sp}); err != nil {
+//		return err
+//	}
 //	go wa.Run(ctx)
 //	go sp.Run(ctx)
 package configuration
--- a/internal/configuration/error.go
+++ b/internal/configuration/error.go
@@ -5,18 +5,22 @@
 	"fmt"
 )
 
-// ErrorKind says what went wrong with a bundle.
+// ErrorKind classifies a failure to read or write a bundle.
 type ErrorKind string
 
 // The kinds of error that this package reports.
 const (
-	// Moved means that the head changed since it was read; nothing was written.
+	// Moved means that the head has changed since it was read, or that the time
+	// for publishing ended before the head was sent. The head was not written.
 	Moved ErrorKind = "moved"
-	// Damaged means that a shard does not have the hash it is named by.
+	// Damaged means that a head or shard cannot be decoded, or that a shard
+	// does not match the hash it is named by.
 	Damaged ErrorKind = "damaged"
-	// Incomplete means that a shard that the head names is not at hand.
+	// Incomplete means that a shard named by the head is missing, or that the
+	// instance has no bundle yet.
 	Incomplete ErrorKind = "incomplete"
-	// Unsettled means that the platform could not say whether a write took effect.
+	// Unsettled means that it is unknown whether the write of the head took
+	// effect.
 	Unsettled ErrorKind = "unsettled"
 )
 
@@ -25,7 +29,8 @@
 	// Op is the operation, for example "publish".
 	Op   string
 	Kind ErrorKind
-	Err  error
+	// Err is the cause, or nil.
+	Err error
 }
 
 // Error implements error.
@@ -39,7 +44,7 @@
 // Unwrap returns the cause.
 func (er *Error) Unwrap() error { return er.Err }
 
-// IsKind tells whether err is a configuration error of that kind.
+// IsKind reports whether err is or wraps an Error of that kind.
 func IsKind(err error, ki ErrorKind) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Kind == ki
--- a/internal/configuration/head.go
+++ b/internal/configuration/head.go
@@ -2,33 +2,35 @@
 
 import "slices"
 
-// Key is the platform key of the head.
+// Key is the key of the head in the platform.
 const Key = "configuration/head"
 
-// keptMoves is how many finished moves a head remembers, so that an instance
-// that goes on with a plan sees which of its steps are applied.
-const keptMoves = 64
+// maxFinishedMoves is the number of finished plans that a head records, so that
+// an instance that takes over a plan sees which of its steps are applied.
+const maxFinishedMoves = 64
 
-// Move is what a head remembers of a plan that has been confirmed.
+// Move records the progress of a confirmed plan.
 type Move struct {
 	Plan string `json:"plan"`
-	// Steps is the number of the plan's steps that are applied.
+	// Steps is the number of steps of the plan that have been applied.
 	Steps int `json:"steps"`
-	// Objects are held by the plan until it is done, each "kind/name".
+	// Objects are the objects, each "kind/name", that no other plan may change
+	// until this one is done.
 	Objects []string `json:"objects,omitempty"`
 	Done    bool     `json:"done,omitempty"`
 }
 
-// Head names one version of the configuration.
+// Head is the root object of one version of the configuration.
 type Head struct {
 	Version int64 `json:"version"`
-	// Shards are the hashes of the shards' contents.
+	// Shards are the hex SHA-256 hashes of the contents of the shards.
 	Shards []string `json:"shards"`
-	// Moves are the running plans and the last ones that are done.
+	// Moves holds the progress of all running plans and of the plans that
+	// finished last.
 	Moves []Move `json:"moves,omitempty"`
 }
 
-// Move returns what the head remembers of a plan.
+// Move returns the progress of a plan and whether the head records it.
 func (he Head) Move(plan string) (Move, bool) {
 	ix := slices.IndexFunc(he.Moves, func(mo Move) bool { return mo.Plan == plan })
 	if ix < 0 {
@@ -37,7 +39,8 @@
 	return he.Moves[ix], true
 }
 
-// Holder returns the running plan that holds an object, or an empty string.
+// Holder returns the ID of the running plan that has reserved an object, given
+// as "kind/name". It returns an empty string if there is none.
 func (he Head) Holder(object string) string {
 	for _, mo := range he.Moves {
 		if !mo.Done && slices.Contains(mo.Objects, object) {
@@ -47,8 +50,9 @@
 	return ""
 }
 
-// WithMove returns a copy that remembers the move in place of an earlier one
-// of the same plan. The oldest finished moves are forgotten.
+// WithMove returns a copy of the head in which mo replaces any earlier progress
+// of the same plan. The oldest finished plans beyond maxFinishedMoves are
+// removed.
 func (he Head) WithMove(mo Move) Head {
 	moves := slices.DeleteFunc(slices.Clone(he.Moves), func(it Move) bool { return it.Plan == mo.Plan })
 	moves = append(moves, mo)
@@ -59,7 +63,7 @@
 		}
 	}
 	moves = slices.DeleteFunc(moves, func(it Move) bool {
-		if !it.Done || done <= keptMoves {
+		if !it.Done || done <= maxFinishedMoves {
 			return false
 		}
 		done--
--- a/internal/configuration/publish.go
+++ b/internal/configuration/publish.go
@@ -11,19 +11,21 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// writeAttempts bounds how often a write is sent whose answer was lost.
-const writeAttempts = 4
+// maxWriteAttempts limits how often a write is sent when its outcome is unknown.
+const maxWriteAttempts = 4
 
-// publishTimeout bounds the time from the first shard to the head. A shard that
-// was found in the platform may be swept if it is not named long after.
+// publishTimeout limits the time from the write of the first shard to that of
+// the head, because garbage collection deletes shards that no head has named
+// for long.
 const publishTimeout = time.Minute
 
-// ShardPrefix begins the platform key of a shard; its hash follows.
+// ShardPrefix is the prefix of the key of a shard in the platform. The hash of
+// the shard follows it.
 const ShardPrefix = "configuration/shards/"
 
-// Publish writes a whole configuration if the head's object version is
-// previous; zero means that there is no head yet. It returns the new object
-// version, or an error of kind Moved.
+// Publish writes a whole configuration if previous is the current object
+// version of the head. Zero means that no head exists yet. It returns the new
+// object version. An error of kind Moved means that the head has changed.
 func Publish(ctx context.Context, store platform.Store, previous int64, cf *kind.Configuration) (int64, error) {
 	bu, err := Pack(cf)
 	if err != nil {
@@ -32,13 +34,13 @@
 	return PublishBundle(ctx, store, previous, bu, nil)
 }
 
-// PublishBundle is Publish for a bundle. The shards are written first, so a
-// head never names one that is missing. Those of base are not written: base is
-// the bundle of the head at previous, or nil.
+// PublishBundle is Publish for a bundle. It writes the shards before the head,
+// so a head never names a missing shard. The shards of base, which is the bundle
+// of the head at previous or nil, already exist and are not written again.
 func PublishBundle(ctx context.Context, store platform.Store, previous int64, bu, base *Bundle) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
-	for _, hash := range bu.Head.Lacking(shardsOf(base)) {
+	for _, hash := range bu.Head.MissingShards(shardsOf(base)) {
 		if err := publishShard(ctx, store, hash, bu.shards[hash]); err != nil {
 			return 0, err
 		}
@@ -53,12 +55,12 @@
 	return publishHead(ctx, store, previous, data)
 }
 
-// publishShard writes a shard. One that is there is written again, so that its
-// object version tells a sweep that it is in use.
+// publishShard writes a shard. It rewrites one that exists, because the new
+// object version keeps a running garbage collection from deleting it.
 func publishShard(ctx context.Context, store platform.Store, hash string, data []byte) error {
 	var err error
 	var previous int64
-	for range writeAttempts {
+	for range maxWriteAttempts {
 		_, err = store.Update(ctx, ShardPrefix+hash, previous, data)
 		if err == nil {
 			return nil
@@ -75,11 +77,12 @@
 	return err
 }
 
-// publishHead writes the head once. After a lost answer it reads back: the
-// bytes of a head name its plan and step, so equal bytes are its own write.
+// publishHead writes the head. If the outcome of a write is unknown, it reads
+// the head back. The content names the plan and the step, so equal bytes prove
+// that its own write took effect.
 func publishHead(ctx context.Context, store platform.Store, previous int64, data []byte) (int64, error) {
 	var err error
-	for range writeAttempts {
+	for range maxWriteAttempts {
 		var version int64
 		version, err = store.Update(ctx, Key, previous, data)
 		if err == nil {
@@ -102,23 +105,24 @@
 }
 
 // Read returns the bundle in the platform and the object version of its head.
-// Shards that known has are not read again; known may be nil.
+// Shards that known holds are not read again. known may be nil.
 func Read(ctx context.Context, store platform.Store, known *Bundle) (*Bundle, int64, error) {
 	ob, err := store.Get(ctx, Key)
 	if err != nil {
 		return nil, 0, err
 	}
-	bu, err := complete(ctx, store, ob.Value, known)
+	bu, err := readBundle(ctx, store, ob.Value, known)
 	return bu, ob.Version, err
 }
 
-// ReadShards returns the bundle of a head that may no longer be the newest.
+// ReadShards returns the bundle of a head, which need not be the newest one.
+// Shards that known holds are not read again. known may be nil.
 func ReadShards(ctx context.Context, store platform.Store, he Head, known *Bundle) (*Bundle, error) {
 	shards := maps.Clone(shardsOf(known))
 	if shards == nil {
 		shards = make(map[string][]byte, len(he.Shards))
 	}
-	for _, hash := range he.Lacking(shards) {
+	for _, hash := range he.MissingShards(shards) {
 		ob, err := store.Get(ctx, ShardPrefix+hash)
 		if err != nil {
 			return nil, err
@@ -128,7 +132,7 @@
 	return Unpack(he, shards)
 }
 
-func complete(ctx context.Context, store platform.Store, head []byte, known *Bundle) (*Bundle, error) {
+func readBundle(ctx context.Context, store platform.Store, head []byte, known *Bundle) (*Bundle, error) {
 	var he Head
 	if err := json.Unmarshal(head, &he); err != nil {
 		return nil, &Error{Op: "read", Kind: Damaged, Err: err}
--- a/internal/configuration/reason.go
+++ b/internal/configuration/reason.go
@@ -1,31 +1,33 @@
 package configuration
 
-// Reason is what a State counts.
+// Reason is a label value of the metric configuration_events.
 type Reason string
 
-// The reasons that are counted as configuration_events.
+// The values of Reason.
 const (
-	// AppliedPlatform, AppliedZone and AppliedElsewhere count versions put in
-	// force by their source.
+	// AppliedPlatform, AppliedZone and AppliedOtherZone count the versions that
+	// were put in force, by source.
 	AppliedPlatform  Reason = "applied_platform"
 	AppliedZone      Reason = "applied_zone"
-	AppliedElsewhere Reason = "applied_elsewhere"
-	// LowerVersion counts refusals of a version below that in force.
+	AppliedOtherZone Reason = "applied_elsewhere"
+	// LowerVersion counts versions refused because a higher one is in force.
 	LowerVersion Reason = "refused_lower_version"
-	// Diverged counts refusals of another configuration of the same version.
+	// Diverged counts refusals of a configuration that has the version in force
+	// but different content.
 	Diverged Reason = "refused_diverged"
-	// Repaired counts writes over a platform that was behind.
+	// Repaired counts overwrites of an outdated or missing head in the platform.
 	Repaired Reason = "repaired_platform"
-	// NoticeRepeated counts notices without an answer.
-	NoticeRepeated Reason = "retry_notice"
-	// FetchRepeated counts fetches that failed.
-	FetchRepeated Reason = "retry_fetch"
+	// NoticeUnanswered counts notices that were not acknowledged.
+	NoticeUnanswered Reason = "retry_notice"
+	// FetchFailed counts failed attempts to fetch a version from another
+	// instance.
+	FetchFailed Reason = "retry_fetch"
 )
 
 var reasons = []Reason{
-	AppliedPlatform, AppliedZone, AppliedElsewhere, LowerVersion, Diverged, Repaired, NoticeRepeated, FetchRepeated,
+	AppliedPlatform, AppliedZone, AppliedOtherZone, LowerVersion, Diverged, Repaired, NoticeUnanswered, FetchFailed,
 }
 
-var applied = map[Source]Reason{FromPlatform: AppliedPlatform, FromZone: AppliedZone, FromElsewhere: AppliedElsewhere}
+var appliedReasons = map[Source]Reason{FromPlatform: AppliedPlatform, FromZone: AppliedZone, FromOtherZone: AppliedOtherZone}
 
 func (st *State) count(re Reason) { st.events.Count(st.Scope, "configuration_events", reasons, re) }
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -13,7 +13,7 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// Source is where a bundle came from.
+// Source is where an instance received a bundle from.
 type Source string
 
 // The sources of a bundle.
@@ -22,49 +22,50 @@
 	FromPlatform Source = "platform"
 	// FromZone is another instance of the same zone.
 	FromZone Source = "zone"
-	// FromElsewhere is an instance of another zone.
-	FromElsewhere Source = "elsewhere"
+	// FromOtherZone is an instance of another zone.
+	FromOtherZone Source = "elsewhere"
 )
 
-// Standing is how an instance's configuration relates to the platform's.
+// Standing compares the configuration of an instance with that of the platform.
 type Standing struct {
-	// Version is the version in force here; zero means none.
+	// Version is the version in force on this instance. Zero means none.
 	Version int64 `json:"version"`
-	// PlatformVersion is the version that the platform last showed this
-	// instance. A lower one than Version means that the platform has been
-	// restored from an old copy.
+	// PlatformVersion is the version that this instance last read from the
+	// platform. If it is lower than Version, the platform has been restored from
+	// an old backup.
 	PlatformVersion int64 `json:"platform_version,omitempty"`
-	// PlatformAt is when the platform last answered this instance, if it
-	// watches.
+	// PlatformAt is when the platform last answered this instance. It is zero
+	// on instances that do not watch the platform.
 	PlatformAt time.Time `json:"platform_at,omitzero"`
-	// Diverged means that another configuration of the same version was seen.
+	// Diverged means that this instance has received a configuration that has
+	// the version in force but different content.
 	Diverged bool `json:"diverged,omitempty"`
 }
 
 // State is the configuration in force on one instance. Set the fields before
 // the first call. It is safe for concurrent use.
 type State struct {
-	// Holder is where requests read the configuration.
+	// Holder publishes the configuration in force to request handlers.
 	Holder *snapshot.Holder[kind.Configuration]
 	Log    zerolog.Logger
-	// Scope counts what was applied and refused; nil counts nothing.
+	// Scope receives the metric configuration_events. Nil disables it.
 	Scope tally.Scope
 
 	bundle snapshot.Holder[Bundle]
 	events metric.Events[Reason]
 
-	mu       sync.Mutex
-	source   Source
-	platform int64
-	reached  time.Time
-	diverged bool
-	changed  chan struct{}
+	mu                 sync.Mutex
+	source             Source
+	platformVersion    int64
+	platformAnsweredAt time.Time
+	diverged           bool
+	changed            chan struct{}
 }
 
 // Bundle returns the bundle in force, or nil.
 func (st *State) Bundle() *Bundle { return st.bundle.Load() }
 
-// Version returns the version in force, zero for none.
+// Version returns the version in force, or zero if there is none.
 func (st *State) Version() int64 {
 	if bu := st.bundle.Load(); bu != nil {
 		return bu.Head.Version
@@ -72,40 +73,40 @@
 	return 0
 }
 
-// Standing returns what status says of the configuration.
+// Standing returns the state of the configuration for status reports.
 func (st *State) Standing() Standing {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return Standing{Version: st.Version(), PlatformVersion: st.platform, PlatformAt: st.reached, Diverged: st.diverged}
+	return Standing{Version: st.Version(), PlatformVersion: st.platformVersion, PlatformAt: st.platformAnsweredAt, Diverged: st.diverged}
 }
 
-// Reached takes note that the platform answered.
-func (st *State) Reached(at time.Time) {
+// RecordPlatformAnswer records the time at which the platform last answered.
+func (st *State) RecordPlatformAnswer(at time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.reached = at
+	st.platformAnsweredAt = at
 }
 
-// Apply puts a bundle in force if its version is higher than that in force.
-// It returns whether it did.
+// Apply puts a bundle in force if its version is higher than the current one.
+// It reports whether it did.
 func (st *State) Apply(bu *Bundle, from Source) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if from == FromPlatform {
-		st.platform = bu.Head.Version
+		st.platformVersion = bu.Head.Version
 	}
 	current := st.bundle.Load()
 	if current != nil && bu.Head.Version <= current.Head.Version {
 		st.refuse(bu, current)
 		return false
 	}
-	// Requests see the version before anything says that it is in force.
+	// Request handlers get the configuration before Version reports it.
 	st.Holder.Store(bu.cf)
 	st.bundle.Store(bu)
 	st.source = from
-	st.wake()
-	st.count(applied[from])
-	st.Log.Info().Int64("version", bu.Head.Version).Str("from", string(from)).Msg("configuration: in force")
+	st.signalChange()
+	st.count(appliedReasons[from])
+	st.Log.Info().Int64("version", bu.Head.Version).Str("from", string(from)).Msg("configuration: new version is in force")
 	return true
 }
 
@@ -117,19 +118,19 @@
 	if !slices.Equal(bu.Head.Shards, current.Head.Shards) {
 		st.diverged = true
 		st.count(Diverged)
-		st.Log.Error().Int64("version", bu.Head.Version).Msg("configuration: another one of the same version")
+		st.Log.Error().Int64("version", bu.Head.Version).Msg("configuration: refused a different configuration of the version in force")
 	}
 }
 
-func (st *State) wake() {
+func (st *State) signalChange() {
 	if st.changed != nil {
 		close(st.changed)
 	}
 	st.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change, and the source
-// of the bundle in force.
+// Changed returns a channel that is closed when the next bundle comes into
+// force, and the source of the current one.
 func (st *State) Changed() (<-chan struct{}, Source) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/internal/configuration/watcher.go
+++ b/internal/configuration/watcher.go
@@ -14,35 +14,38 @@
 )
 
 const (
-	// firstPause and longestPause bound the backoff after a failed call.
-	firstPause   = 200 * time.Millisecond
-	longestPause = 5 * time.Second
-	// rollCall is how often an instance asks again whether it watches.
-	rollCall = time.Second
-	// pollInterval is how often a watching instance reads the head. It bounds
-	// how long a platform that was restored from an old copy goes unnoticed,
-	// whose revisions are lower than those that the watch waits for.
+	// minBackoff and maxBackoff bound the back-off after a failed call.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// electionCheckInterval is how often an instance that is not elected checks
+	// whether it has been elected.
+	electionCheckInterval = time.Second
+	// pollInterval is how often an elected instance reads the head. It limits
+	// the time until a platform that was restored from an old backup is
+	// detected: the watch does not report it, because the revisions are lower
+	// than those that it waits for.
 	pollInterval = 5 * time.Second
 )
 
-// Watcher is the controller that follows the configuration in the platform.
-// Set the fields before Run.
+// Watcher is the controller that reads new versions of the configuration from
+// the platform. Set the fields before Run.
 type Watcher struct {
 	Store platform.Store
 	State *State
 	Clock clockwork.Clock
 	Log   zerolog.Logger
-	// Elected tells whether this instance watches for its zone; nil means yes.
+	// Elected reports whether this instance watches the platform for its zone.
+	// Nil means that it always does.
 	Elected func() bool
 
-	revision atomic.Int64
-	object   atomic.Int64
+	revision          atomic.Int64
+	headObjectVersion atomic.Int64
 }
 
 // Name implements controller.Controller.
 func (wa *Watcher) Name() string { return "configuration" }
 
-// Run follows the configuration until ctx ends.
+// Run watches and polls the platform until ctx ends.
 func (wa *Watcher) Run(ctx context.Context) error {
 	gr, ctx := errgroup.WithContext(ctx)
 	gr.Go(func() error { return wa.loop(ctx, wa.watch, 0) })
@@ -50,29 +53,29 @@
 	return gr.Wait()
 }
 
-// loop calls step while this instance is elected, every interval, and later
-// after a failure.
+// loop calls step at the given interval while this instance is elected. After
+// a failure it waits for an exponential back-off instead.
 func (wa *Watcher) loop(ctx context.Context, step func(context.Context) error, interval time.Duration) error {
-	pause := firstPause
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		if wa.Elected != nil && !wa.Elected() {
-			wait(ctx, wa.Clock, rollCall)
+			sleep(ctx, wa.Clock, electionCheckInterval)
 			continue
 		}
 		if err := step(ctx); err != nil {
-			wa.Log.Warn().Err(err).Msg("configuration: platform does not answer")
-			wait(ctx, wa.Clock, pause)
-			pause = min(2*pause, longestPause)
+			wa.Log.Warn().Err(err).Msg("configuration: cannot follow the platform; retrying after a back-off")
+			sleep(ctx, wa.Clock, backoff)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		wa.State.Reached(wa.Clock.Now())
-		pause = firstPause
-		wait(ctx, wa.Clock, interval)
+		wa.State.RecordPlatformAnswer(wa.Clock.Now())
+		backoff = minBackoff
+		sleep(ctx, wa.Clock, interval)
 	}
 	return nil
 }
 
-func wait(ctx context.Context, clock clockwork.Clock, du time.Duration) {
+func sleep(ctx context.Context, clock clockwork.Clock, du time.Duration) {
 	if du <= 0 {
 		return
 	}
@@ -84,7 +87,7 @@
 
 func (wa *Watcher) watch(ctx context.Context) error {
 	revision := wa.revision.Load()
-	li, err := wa.next(ctx, revision)
+	li, err := wa.listOrWatch(ctx, revision)
 	if err != nil {
 		return err
 	}
@@ -99,15 +102,15 @@
 	return nil
 }
 
-func (wa *Watcher) next(ctx context.Context, revision int64) (platform.Listing, error) {
+func (wa *Watcher) listOrWatch(ctx context.Context, revision int64) (platform.Listing, error) {
 	if revision == 0 {
 		return wa.Store.List(ctx, Key)
 	}
 	return wa.Store.Watch(ctx, Key, revision)
 }
 
-// poll reads the head. A platform that shows a lower version than that in
-// force, or none, gets the one in force.
+// poll reads the head. If its version is lower than the one in force, or if
+// there is no head, poll writes the bundle in force to the platform.
 func (wa *Watcher) poll(ctx context.Context) error {
 	ob, err := wa.Store.Get(ctx, Key)
 	if platform.IsKind(err, platform.NotFound) {
@@ -116,20 +119,20 @@
 	if err != nil {
 		return err
 	}
-	if wa.object.Swap(ob.Version) > ob.Version {
+	if wa.headObjectVersion.Swap(ob.Version) > ob.Version {
 		wa.revision.Store(0)
 	}
 	return wa.apply(ctx, ob)
 }
 
 func (wa *Watcher) apply(ctx context.Context, ob platform.Object) error {
-	bu, err := complete(ctx, wa.Store, ob.Value, wa.State.Bundle())
+	bu, err := readBundle(ctx, wa.Store, ob.Value, wa.State.Bundle())
 	var er *platform.Error
 	if errors.As(err, &er) && er.Kind != platform.NotFound {
 		return err
 	}
 	if err != nil {
-		wa.Log.Error().Err(err).Msg("configuration: version refused")
+		wa.Log.Error().Err(err).Msg("configuration: cannot load the version in the platform; keeping the one in force")
 		return nil
 	}
 	wa.State.Apply(bu, FromPlatform)
@@ -139,8 +142,9 @@
 	return nil
 }
 
-// repair writes the bundle in force over an older head, so that an accepted
-// configuration outlives a platform that was restored from an old copy.
+// repair overwrites an older or missing head with the bundle in force, so that
+// an accepted configuration is not lost when the platform is restored from an
+// old backup.
 func (wa *Watcher) repair(ctx context.Context, old platform.Object) error {
 	bu := wa.State.Bundle()
 	if bu == nil {
@@ -152,7 +156,7 @@
 	}
 	if err == nil {
 		wa.State.count(Repaired)
-		wa.Log.Warn().Int64("version", bu.Head.Version).Msg("configuration: platform was behind, wrote the one in force")
+		wa.Log.Warn().Int64("version", bu.Head.Version).Msg("configuration: platform had an older version or none; wrote the version in force")
 	}
 	return err
 }
