--- a/internal/document/decode.go
+++ b/internal/document/decode.go
@@ -12,22 +12,27 @@
 	"github.com/tailscale/hujson"
 )
 
-// Shaped is implemented by types whose JSON is checked like another type's.
+// Shaped is implemented by types whose JSON is checked against the fields of
+// another type, which Shape returns.
 type Shaped interface {
 	Shape() reflect.Type
 }
 
-// Decoder says how faults of a file are worded. Set the fields before Decode.
+// Decoder decodes a file. The fields are used in the messages of faults only.
+// Set them before Decode.
 type Decoder struct {
-	// File is only used in faults.
+	// File is the name of the file.
 	File string
-	// Root names the whole document, for example "settings".
+	// Root is the field name reported for the whole document, for example
+	// "settings".
 	Root string
-	// Noun names a field with its article, for example "a setting".
+	// Noun is the word for a field with its article, for example "a setting".
 	Noun string
 }
 
-// Decode decodes data into a pointer to a struct. An error is of type Faults.
+// Decode checks data against the type of into, which must be a pointer to a
+// struct, and decodes it. An error is of type Faults. Fields that are absent
+// from data keep their values.
 func (de Decoder) Decode(data []byte, into any) (*Source, error) {
 	so := &Source{file: de.File, lines: make(map[string]int)}
 	root, err := hujson.Parse(data)
@@ -55,7 +60,7 @@
 	return line
 }
 
-// walker walks a document beside the type that it is decoded into.
+// walker traverses a document together with the type that it is decoded into.
 type walker struct {
 	Decoder
 	*Source
@@ -72,13 +77,13 @@
 	switch in := va.Value.(type) {
 	case *hujson.Object:
 		if ty.Kind() != reflect.Struct {
-			wa.add(wa.orRoot(path), line, "must be "+describe(ty))
+			wa.add(wa.pathOrRoot(path), line, "must be "+expectedValue(ty))
 			return
 		}
 		wa.walkObject(in, ty, path)
 	case *hujson.Array:
 		if ty.Kind() != reflect.Slice {
-			wa.add(wa.orRoot(path), line, "must be "+describe(ty))
+			wa.add(wa.pathOrRoot(path), line, "must be "+expectedValue(ty))
 			return
 		}
 		wa.walkArray(in, ty, path)
@@ -87,7 +92,8 @@
 	}
 }
 
-// shape follows pointers and Shaped types to the type whose fields count.
+// shape resolves pointers and Shaped types to the type that the document is
+// checked against.
 func shape(ty reflect.Type) reflect.Type {
 	for ty.Kind() == reflect.Pointer {
 		ty = ty.Elem()
@@ -109,13 +115,13 @@
 func (wa *walker) walkLiteral(va hujson.Value, ty reflect.Type, path string) {
 	line := wa.line(va.StartOffset)
 	if ty.Kind() == reflect.Struct || ty.Kind() == reflect.Slice {
-		wa.add(wa.orRoot(path), line, "must be "+describe(ty))
+		wa.add(wa.pathOrRoot(path), line, "must be "+expectedValue(ty))
 		return
 	}
 	literal := va.Clone()
 	literal.Standardize()
 	if err := json.Unmarshal(literal.Pack(), reflect.New(ty).Interface()); err != nil {
-		wa.add(path, line, "must be "+describe(ty))
+		wa.add(path, line, "must be "+expectedValue(ty))
 	}
 }
 
@@ -130,7 +136,7 @@
 			wa.add(full, line, "is not "+wa.Noun+"; allowed are "+strings.Join(sortedNames(fields), ", "))
 			continue
 		}
-		if _, twice := wa.lines[full]; twice {
+		if _, duplicate := wa.lines[full]; duplicate {
 			wa.add(full, line, "is set twice; keep one")
 			continue
 		}
@@ -139,7 +145,7 @@
 	}
 }
 
-func (wa *walker) orRoot(path string) string {
+func (wa *walker) pathOrRoot(path string) string {
 	if path == "" {
 		return wa.Root
 	}
@@ -175,7 +181,7 @@
 	return names
 }
 
-func describe(ty reflect.Type) string {
+func expectedValue(ty reflect.Type) string {
 	if reflect.PointerTo(ty).Implements(reflect.TypeFor[encoding.TextUnmarshaler]()) {
 		return `a duration like "1m30s"`
 	}
--- a/internal/document/fault.go
+++ b/internal/document/fault.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// Fault is one mistake in a file.
+// Fault is one error in a file.
 type Fault struct {
 	File string
 	Line int
-	// Field is the path of the field, with dots and indexes.
+	// Field is the path of the field, for example "peers[1].name". It is "syntax"
+	// or "json" if no field can be named.
 	Field string
-	// Problem says what is wrong and what is allowed.
+	// Problem describes the error and the allowed values.
 	Problem string
 }
 
@@ -21,7 +22,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", fa.File, fa.Line, fa.Field, fa.Problem)
 }
 
-// Faults is all that is wrong with a file, in the order of its lines.
+// Faults holds all errors in a file, in the order of their lines.
 type Faults []Fault
 
 // Error implements error.
@@ -33,20 +34,21 @@
 	return strings.Join(lines, "\n")
 }
 
-// Source is a decoded file that knows the line of each field.
+// Source maps the fields of a decoded file to their lines and collects faults.
 type Source struct {
 	file   string
 	lines  map[string]int
 	faults Faults
 }
 
-// Add reports a fault of a field. The line is that of the field, or of the
-// nearest object around it.
+// Add records a fault of a field. The line is that of the field, or of the
+// innermost enclosing object or list that the file contains, or else 1.
 func (so *Source) Add(field, problem string) {
 	so.add(field, so.lineOf(field), problem)
 }
 
-// Err returns the faults so far in the order of their lines, or nil.
+// Err returns the faults recorded so far in the order of their lines, as Faults,
+// or nil if there are none.
 func (so *Source) Err() error {
 	if len(so.faults) == 0 {
 		return nil
--- a/internal/setting/parse.go
+++ b/internal/setting/parse.go
@@ -2,14 +2,15 @@
 
 import "filbertstall.example/filbertstall/internal/document"
 
-// Fault is one mistake in a settings file.
+// Fault is one error in a settings file.
 type Fault = document.Fault
 
-// Faults is all that is wrong with a settings file, in the order of its lines.
+// Faults holds all errors in a settings file, in the order of their lines.
 type Faults = document.Faults
 
-// Parse decodes and checks the content of a settings file. The file's name is
-// only used in faults.
+// Parse decodes and validates the content of a settings file. Fields that are
+// absent keep the values of Default. The file name is used in faults only. An
+// error is of type Faults.
 func Parse(file string, data []byte) (Settings, error) {
 	se := Default()
 	de := document.Decoder{File: file, Root: "settings", Noun: "a setting"}
--- a/internal/setting/setting.go
+++ b/internal/setting/setting.go
@@ -12,19 +12,22 @@
 
 // Settings is the content of a settings file.
 type Settings struct {
-	// Name is the instance's name, unique in the deployment.
+	// Name is the name of the instance, unique in the deployment, 1 to 63 bytes.
 	Name string `json:"name"`
 	// Zone is the availability zone that the instance runs in.
 	Zone string `json:"zone"`
-	// Caller, Operator and Peer are the instance's three listeners.
+	// Caller, Operator and Peer are the listeners for callers, for operators and
+	// for other instances.
 	Caller   Listener `json:"caller"`
 	Operator Listener `json:"operator"`
 	Peer     Listener `json:"peer"`
 	Platform Platform `json:"platform"`
-	// Peers are peer listeners of other instances, to ask for the others and
-	// for the configuration when the platform does not answer at the start.
+	// Peers are the addresses of peer listeners of other instances. If the
+	// platform does not answer at start-up, the instance asks them for the
+	// membership and the configuration.
 	Peers []string `json:"peers"`
-	// ResumeKey signs resume tokens; all instances share it. 64 hex digits.
+	// ResumeKey signs resume tokens. It has 64 hex digits and must be the same on
+	// all instances.
 	ResumeKey string `json:"resume_key"`
 	// AllowPlaintext permits listeners without TLS.
 	AllowPlaintext bool   `json:"allow_plaintext"`
@@ -32,14 +35,14 @@
 	Log            Log    `json:"log"`
 }
 
-// Listener is an address to listen on.
+// Listener is an address to listen on, with its certificate.
 type Listener struct {
-	// Listen is an IP number and port; port 0 takes any free one.
+	// Listen is an IP address and port. Port 0 selects any free port.
 	Listen string `json:"listen"`
 	TLS    TLS    `json:"tls"`
 }
 
-// Scheme returns the start of the listener's URLs.
+// Scheme returns the scheme of the listener's URLs with "://" at its end.
 func (li Listener) Scheme() string {
 	if li.TLS.Enabled() {
 		return "https://"
@@ -47,59 +50,63 @@
 	return "http://"
 }
 
-// TLS names the files of a listener's certificate; they are read again when
+// TLS names the certificate files of a listener. The files are reloaded when
 // they change.
 type TLS struct {
 	CertFile string `json:"cert_file"`
 	KeyFile  string `json:"key_file"`
-	// CAFile holds the authorities of client certificates, for mutual TLS.
+	// CAFile holds the certificate authorities that sign client certificates. It
+	// is used for mutual TLS only.
 	CAFile string `json:"ca_file"`
 }
 
-// Enabled tells whether the listener has a certificate.
+// Enabled reports whether a certificate file is configured.
 func (tl TLS) Enabled() bool { return tl.CertFile != "" }
 
-// Platform says where the platform's object API is.
+// Platform configures the access to the object API of the platform.
 type Platform struct {
+	// URL is the base address, for example "http://10.0.0.1:7000".
 	URL string `json:"url"`
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	// Level is "debug", "info", "warn" or "error".
 	Level string `json:"level"`
 }
 
-// Limits bounds what one instance takes on.
+// Limits holds the limits and timeouts of one instance.
 type Limits struct {
-	// BodyBytes bounds a request's body.
+	// BodyBytes is the maximum size of a request body.
 	BodyBytes int `json:"body_bytes"`
-	// Timeout is the deadline of a request that states none.
+	// Timeout applies to requests that state none.
 	Timeout Duration `json:"timeout"`
-	// MaxTimeout bounds the deadline that a request may state.
+	// MaxTimeout is the longest timeout that a request may state.
 	MaxTimeout Duration `json:"max_timeout"`
-	// IdleTimeout is how long a stream from an endpoint may be silent.
+	// IdleTimeout is how long a stream from an endpoint may make no progress.
 	IdleTimeout Duration `json:"idle_timeout"`
-	// RecordRetention is how long the outcome of a keyed call is kept.
+	// RecordRetention is how long the outcome of a call with an idempotency key
+	// is stored.
 	RecordRetention Duration `json:"record_retention"`
-	// FlushDelay lets tokens of a stream gather before they are sent on
-	// together; it saves processor time and adds to the time between tokens.
+	// FlushDelay is how long tokens of a stream are buffered before they are sent
+	// together. Buffering saves CPU time and increases the time between tokens.
 	FlushDelay Duration `json:"flush_delay"`
-	// StopTimeout is how long open answers may go on after SIGTERM.
+	// StopTimeout limits the graceful shutdown: it is how long open responses may
+	// continue after SIGTERM.
 	StopTimeout Duration `json:"stop_timeout"`
 }
 
-// Duration is a time.Duration that is written like "1m30s".
+// Duration is a time.Duration that is encoded as text, for example "1m30s".
 type Duration time.Duration
 
-// UnmarshalText decodes a duration.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (du *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	*du = Duration(parsed)
 	return err
 }
 
-// MarshalText encodes a duration.
+// MarshalText implements encoding.TextMarshaler.
 func (du Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(du).String()), nil }
 
 const (
@@ -114,7 +121,7 @@
 
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// Default returns the settings that a file starts from.
+// Default returns the values of settings that the file does not set.
 func Default() Settings {
 	return Settings{
 		Log: Log{Level: "info"},
@@ -126,8 +133,8 @@
 	}
 }
 
-// Load reads and checks a settings file. An error is of type Faults, or that
-// of reading the file.
+// Load reads and validates a settings file. An error is of type Faults, or the
+// error of reading the file.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path) //nolint:gosec // the operator names the file
 	if err != nil {
@@ -136,7 +143,8 @@
 	return Parse(path, data)
 }
 
-// rule is one check of a field's value.
+// rule is the result of one check of a field's value. problem is reported if ok
+// is false.
 type rule struct {
 	field   string
 	ok      bool
