--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -1,16 +1,16 @@
-// Package certificate gives listeners and clients their TLS configuration from
-// files that are read again when they change.
+// Package certificate provides TLS configurations for listeners and clients. The
+// certificates are reloaded from their files when the files change.
 //
 // # Usage
 //
 //	so := &certificate.Source{CertFile: "a.pem", KeyFile: "a.key", CAFile: "ca.pem", Clock: clock}
 //	if err := so.Load(); err != nil { return err }
 //	ln = tls.NewListener(ln, so.ServerConfig())   // callers, operators
-//	ln = tls.NewListener(ln, so.MutualConfig())   // peers: both sides show one
+//	ln = tls.NewListener(ln, so.MutualConfig())   // peers, with mutual TLS
 //	go so.Run(ctx)                                // a controller.Controller
 //
-// A connection keeps the certificate with which it began. A change that cannot
-// be read is logged and the certificate in use stays.
+// An established connection keeps its certificate. If changed files cannot be
+// loaded, the error is logged and the previous certificate stays in use.
 package certificate
 
 import (
@@ -27,23 +27,24 @@
 	"filbertstall.example/filbertstall/internal/snapshot"
 )
 
-// pollInterval is how often the files are looked at.
+// pollInterval is how often the files are checked for changes.
 const pollInterval = 2 * time.Second
 
-// ErrorKind says what is wrong with the files.
+// ErrorKind classifies a failure to load or verify a certificate.
 type ErrorKind string
 
 // The kinds of error that this package reports.
 const (
 	// Unreadable means that a file cannot be read.
 	Unreadable ErrorKind = "unreadable"
-	// Invalid means that a file holds no usable certificate or key.
+	// Invalid means that a file holds no usable certificate or key, or that the
+	// certificate of a peer is missing or not signed by a known authority.
 	Invalid ErrorKind = "invalid"
 )
 
 // Error is the error type of this package.
 type Error struct {
-	// Op is the step, for example "load".
+	// Op is the operation: "stat", "load" or "verify".
 	Op   string
 	File string
 	Kind ErrorKind
@@ -58,30 +59,33 @@
 // Unwrap returns the cause.
 func (er *Error) Unwrap() error { return er.Err }
 
-// loaded is one reading of the files.
-type loaded struct {
+// credentials is the content of the files at one time.
+type credentials struct {
 	certificate tls.Certificate
+	// authorities is nil if no CAFile is set.
 	authorities *x509.CertPool
-	stamp       string
+	// stamp identifies the versions of the files that were loaded.
+	stamp string
 }
 
-// Source holds the newest certificate of a set of files. Set the fields before
-// Load.
+// Source loads a certificate from files and keeps it up to date. Set the fields
+// before Load, and call Load before any other method.
 type Source struct {
 	CertFile string
 	KeyFile  string
-	// CAFile holds the authorities that peers' certificates are checked with.
+	// CAFile holds the certificate authorities of peers. It may be empty if
+	// MutualConfig is not used.
 	CAFile string
 	Clock  clockwork.Clock
 	Log    zerolog.Logger
 
-	current snapshot.Holder[loaded]
+	current snapshot.Holder[credentials]
 }
 
 // Name implements controller.Controller.
 func (so *Source) Name() string { return "certificate" }
 
-// Load reads the files. On an error the certificate in use stays.
+// Load reads the files. On an error the previous certificate stays in use.
 func (so *Source) Load() error {
 	stamp, err := so.stamp()
 	if err != nil {
@@ -91,7 +95,7 @@
 	if err != nil {
 		return &Error{Op: "load", File: so.CertFile, Kind: Invalid, Err: err}
 	}
-	lo := &loaded{certificate: pair, stamp: stamp}
+	lo := &credentials{certificate: pair, stamp: stamp}
 	if so.CAFile != "" {
 		if lo.authorities, err = readAuthorities(so.CAFile); err != nil {
 			return err
@@ -108,12 +112,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, &Error{Op: "load", File: path, Kind: Invalid, Err: fmt.Errorf("no certificate in PEM form")}
+		return nil, &Error{Op: "load", File: path, Kind: Invalid, Err: fmt.Errorf("file holds no PEM-encoded certificate")}
 	}
 	return pool, nil
 }
 
-// stamp changes when one of the files does.
+// stamp returns a string of the modification times and sizes of the files. It
+// changes when one of the files changes.
 func (so *Source) stamp() (string, error) {
 	stamp := ""
 	for _, path := range []string{so.CertFile, so.KeyFile, so.CAFile} {
@@ -129,7 +134,7 @@
 	return stamp, nil
 }
 
-// Run reads the files again when they change, until ctx ends.
+// Run reloads the files when they change, until ctx ends.
 func (so *Source) Run(ctx context.Context) error {
 	ticker := so.Clock.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -152,14 +157,14 @@
 		err = so.Load()
 	}
 	if err != nil {
-		so.Log.Error().Err(err).Msg("certificate: change not read, the one in use stays")
+		so.Log.Error().Err(err).Msg("certificate: cannot load changed files; keeping the certificate in use")
 		return
 	}
-	so.Log.Info().Str("file", so.CertFile).Msg("certificate: read again")
+	so.Log.Info().Str("file", so.CertFile).Msg("certificate: reloaded from changed files")
 }
 
-// ServerConfig returns the configuration of a listener that shows a
-// certificate and asks for none.
+// ServerConfig returns the configuration of a listener that presents a
+// certificate and does not request one from clients.
 func (so *Source) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -169,10 +174,10 @@
 	}
 }
 
-// MutualConfig returns the configuration between instances: each side shows a
-// certificate of the authorities in CAFile. It serves listeners and clients.
-// Instances are known by IP number, which may change with a restart, so a
-// client checks the authority and not the name.
+// MutualConfig returns the configuration for mutual TLS between instances, for
+// both listeners and clients. Each side must present a certificate signed by an
+// authority in CAFile. Instances are addressed by IP address, which may change
+// with a restart, so a client verifies the authority but not the host name.
 func (so *Source) MutualConfig() *tls.Config {
 	base := so.ServerConfig()
 	base.ClientAuth = tls.RequireAnyClientCert
@@ -184,11 +189,11 @@
 	return base
 }
 
-// verify checks that the other side's certificate comes from the authorities
-// that are in force now.
+// verify checks that the certificate of the other side is signed by one of the
+// authorities that are currently loaded.
 func (so *Source) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return &Error{Op: "verify", File: so.CAFile, Kind: Invalid, Err: fmt.Errorf("the other side shows no certificate")}
+		return &Error{Op: "verify", File: so.CAFile, Kind: Invalid, Err: fmt.Errorf("the peer presented no certificate")}
 	}
 	intermediates := x509.NewCertPool()
 	for _, ce := range state.PeerCertificates[1:] {
--- a/internal/certificate/certificate_test.go
+++ b/internal/certificate/certificate_test.go
@@ -50,7 +50,8 @@
 	return &authority{key: key, cert: cert, pem: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-// write puts a signed certificate, its key and the authority into dir.
+// write writes a signed certificate, its key and the certificate of the
+// authority to dir, and returns a Source of these files.
 func (au *authority) write(dir string, serial int64) *certificate.Source {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
@@ -66,40 +67,40 @@
 		CertFile: filepath.Join(dir, "cert.pem"), KeyFile: filepath.Join(dir, "key.pem"), CAFile: filepath.Join(dir, "ca.pem"),
 		Clock: clockwork.NewRealClock(),
 	}
-	put := func(path string, data []byte) { Expect(os.WriteFile(path, data, 0o600)).To(Succeed()) }
-	put(so.CertFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}))
-	put(so.KeyFile, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}))
-	put(so.CAFile, au.pem)
+	writeFile := func(path string, data []byte) { Expect(os.WriteFile(path, data, 0o600)).To(Succeed()) }
+	writeFile(so.CertFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}))
+	writeFile(so.KeyFile, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}))
+	writeFile(so.CAFile, au.pem)
 	return so
 }
 
-// handshake connects client to server and returns the server's serial number
-// as the client sees it.
+// handshake connects client to server and returns the serial number of the
+// server certificate that the client received.
 func handshake(server, client *tls.Config) (int64, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = ln.Close() }()
 	go func() {
-		right, err := ln.Accept()
+		serverSide, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		defer func() { _ = right.Close() }()
-		conn := tls.Server(right, server)
+		defer func() { _ = serverSide.Close() }()
+		conn := tls.Server(serverSide, server)
 		if conn.HandshakeContext(context.Background()) == nil {
 			_, _ = conn.Write([]byte("k"))
 		}
 	}()
-	left, err := net.Dial("tcp", ln.Addr().String())
+	clientSide, err := net.Dial("tcp", ln.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
-	defer func() { _ = left.Close() }()
-	Expect(left.SetDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
-	conn := tls.Client(left, client)
+	defer func() { _ = clientSide.Close() }()
+	Expect(clientSide.SetDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
+	conn := tls.Client(clientSide, client)
 	if err := conn.HandshakeContext(context.Background()); err != nil {
 		return 0, err
 	}
-	// In TLS 1.3 the server checks the client's certificate after the client's
-	// handshake is over, so only data proves that it was taken.
+	// In TLS 1.3 the server verifies the client certificate after the client has
+	// finished its handshake, so only received data proves that it was accepted.
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
 		return 0, err
 	}
@@ -107,7 +108,7 @@
 }
 
 var _ = Describe("Source", func() {
-	It("lets instances of one authority talk and no others", func() {
+	It("connects instances with certificates of the same authority and no others", func() {
 		au := newAuthority()
 		one, two := au.write(GinkgoT().TempDir(), 11), au.write(GinkgoT().TempDir(), 12)
 		stranger := newAuthority().write(GinkgoT().TempDir(), 13)
@@ -121,7 +122,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("takes a changed certificate for new connections and keeps the old one on a bad change", func() {
+	It("uses a changed certificate for new connections and keeps the previous one if the change is invalid", func() {
 		au, dir := newAuthority(), GinkgoT().TempDir()
 		so := au.write(dir, 21)
 		clock := clockwork.NewFakeClockAt(time.Now())
