--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -19,18 +19,19 @@
 	loadTimeout  = time.Second
 )
 
-// Client talks to endpoints. Set the fields before the first call. It is safe
-// for concurrent use.
+// Client sends requests to endpoints. Set the fields before the first call. It
+// is safe for concurrent use.
 type Client struct {
-	// IdleTimeout is how long a stream may make no progress.
+	// IdleTimeout is how long a stream may make no progress before it fails.
+	// Zero means no limit.
 	IdleTimeout time.Duration
-	// Dial opens connections; nil means TCP.
+	// Dial opens connections. Nil means TCP.
 	Dial func(address string) (net.Conn, error)
 
-	once  sync.Once
-	calls *fasthttp.Client
-	// fresh keeps no connections.
-	fresh *fasthttp.Client
+	once   sync.Once
+	pooled *fasthttp.Client
+	// unpooled is for requests that close their connection.
+	unpooled *fasthttp.Client
 }
 
 func (cl *Client) prepare() {
@@ -38,15 +39,15 @@
 		if cl.Dial == nil {
 			cl.Dial = dial
 		}
-		never := func(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
+		neverRetry := func(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 		newClient := func() *fasthttp.Client {
 			return &fasthttp.Client{
-				RetryIfErr: never, NoDefaultUserAgentHeader: true, MaxConnsPerHost: maxConnsPerEndpoint,
+				RetryIfErr: neverRetry, NoDefaultUserAgentHeader: true, MaxConnsPerHost: maxConnsPerEndpoint,
 				MaxResponseBodySize: maxCallAnswerBytes, Dial: cl.Dial, MaxIdemponentCallAttempts: 1,
 				DisablePathNormalizing: true,
 			}
 		}
-		cl.calls, cl.fresh = newClient(), newClient()
+		cl.pooled, cl.unpooled = newClient(), newClient()
 	})
 }
 
@@ -59,7 +60,8 @@
 	return net.DialTimeout("tcp", address, dialTimeout)
 }
 
-// Generate starts a generation, or joins it if the id is already running.
+// Generate starts a generation, or joins it if its ID is already running at the
+// endpoint.
 func (cl *Client) Generate(url string, ge Generation) (*Stream, error) {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(http.MethodPost)
@@ -75,21 +77,22 @@
 	return cl.open("generate", url, ge.ID, ge.ForcedPrefix, req)
 }
 
-// Resume reads a generation from offset on, over a new connection.
+// Resume reads a generation from the token at offset on, over a new connection.
 func (cl *Client) Resume(url, id string, offset int64) (*Stream, error) {
 	req := fasthttp.AcquireRequest()
 	req.SetRequestURI(url + "/v1/generations/" + id + "/events?offset=" + strconv.FormatInt(offset, 10))
 	return cl.open("resume", url, id, offset, req)
 }
 
-// Cancel ends a generation and frees what it holds. Canceling one that is
-// over is no error.
+// Cancel ends a generation and frees its resources at the engine. Canceling a
+// generation that has ended is not an error.
 func (cl *Client) Cancel(url, id string) error {
 	return cl.exchange("cancel", url, "/v1/generations/"+id, http.MethodDelete, nil, 0, nil)
 }
 
-// CancelUnread cancels a generation unless somebody reads it, which the engine
-// decides; then the error is of kind Refused.
+// CancelUnread cancels a generation unless a client is reading it. The engine
+// decides this. An error of kind Refused means that the generation is being read
+// and was not canceled.
 func (cl *Client) CancelUnread(url, id string) error {
 	cl.prepare()
 	req := fasthttp.AcquireRequest()
@@ -99,27 +102,28 @@
 	req.Header.SetMethod(http.MethodDelete)
 	req.SetRequestURI(url + "/v1/generations/" + id)
 	req.Header.Set(UnreadHeader, "true")
-	if err := cl.calls.DoTimeout(req, resp, loadTimeout); err != nil {
+	if err := cl.pooled.DoTimeout(req, resp, loadTimeout); err != nil {
 		return classify("cancel", url, err)
 	}
 	return checkStatus("cancel", url, resp.StatusCode())
 }
 
-// Load asks for the engine's load report.
+// Load fetches the load report of an engine.
 func (cl *Client) Load(url string) (Load, error) {
 	var lo Load
 	err := cl.exchange("load", url, "/load", http.MethodGet, nil, 0, &lo)
 	return lo, err
 }
 
-// CacheEvents asks for cache events after a sequence number.
+// CacheEvents fetches the cache events that follow a sequence number.
 func (cl *Client) CacheEvents(url string, after int64) ([]CacheEvent, error) {
 	var list []CacheEvent
 	err := cl.exchange("cache_events", url, "/cache/events?after="+strconv.FormatInt(after, 10), http.MethodGet, nil, 0, &list)
 	return list, err
 }
 
-// Order gives an endpoint an order.
+// Order sends an order to an endpoint. An error of kind Fenced means that the
+// fencing token of the order is outdated.
 func (cl *Client) Order(url string, or Order) error {
 	return cl.exchange("order", url, "/orders", http.MethodPost, or, or.Fencing, nil)
 }
@@ -142,7 +146,7 @@
 		req.Header.Set(FencingHeader, strconv.FormatInt(fencing, 10))
 		timeout = orderTimeout
 	}
-	if err := cl.calls.DoTimeout(req, resp, timeout); err != nil {
+	if err := cl.pooled.DoTimeout(req, resp, timeout); err != nil {
 		return classify(op, url, err)
 	}
 	if err := checkStatus(op, url, resp.StatusCode()); err != nil {
@@ -157,8 +161,8 @@
 	return nil
 }
 
-// Call makes one call of a plain service. Any HTTP status is an answer; an
-// error means that there is none.
+// Call sends one request to a plain service, without retries. A response with
+// any HTTP status is a success. An error means that there is no response.
 func (cl *Client) Call(url string, re Request) (Response, error) {
 	cl.prepare()
 	req := fasthttp.AcquireRequest()
@@ -176,9 +180,9 @@
 		req.Header.Set(KeyHeader, re.Key)
 	}
 	req.SetBody(re.Body)
-	client := cl.calls
+	client := cl.pooled
 	if re.NewConnection {
-		client = cl.fresh
+		client = cl.unpooled
 		req.SetConnectionClose()
 	}
 	if err := client.DoTimeout(req, resp, re.Timeout); err != nil {
--- a/internal/endpoint/connection.go
+++ b/internal/endpoint/connection.go
@@ -12,16 +12,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// streamSocketBytes bounds what the kernel holds of a stream whose caller is
-// slow.
-const streamSocketBytes = 64 << 10
+// streamReceiveBufferBytes limits the kernel memory for a stream whose caller
+// reads slowly.
+const streamReceiveBufferBytes = 64 << 10
 
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, streamBufferBytes) }}
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, streamBufferBytes) }}
 
-// open sends a request over a connection of its own and reads the head of the
-// answer. The library's pool of connections is not used: it hands out kept
-// connections, which can have gone silent, and returns the chunks of a body
-// one by one, also when several have arrived.
+// open sends a request over a new connection and reads the header of the
+// response. It does not use the connection pool of fasthttp, because a pooled
+// connection may be dead, and because fasthttp returns the chunks of a body one
+// by one even if several have arrived.
 func (cl *Client) open(op, url, id string, offset int64, req *fasthttp.Request) (*Stream, error) {
 	cl.prepare()
 	defer fasthttp.ReleaseRequest(req)
@@ -42,7 +42,8 @@
 	return st, nil
 }
 
-// connect opens a connection to the host of a URI.
+// connect opens a connection to the host of a URI, with TLS if the scheme is
+// https.
 func (cl *Client) connect(uri *fasthttp.URI) (net.Conn, error) {
 	host := string(uri.Host())
 	conn, err := cl.Dial(host)
@@ -50,7 +51,7 @@
 		return nil, err
 	}
 	if tc, isTCP := conn.(*net.TCPConn); isTCP {
-		_ = tc.SetReadBuffer(streamSocketBytes)
+		_ = tc.SetReadBuffer(streamReceiveBufferBytes)
 	}
 	idle := &idleConn{Conn: conn, timeout: cl.IdleTimeout}
 	if string(uri.Scheme()) != "https" {
@@ -68,13 +69,13 @@
 	return tc, nil
 }
 
-// exchange writes the request and reads the head of the answer.
+// exchange writes the request and reads the header of the response.
 func (st *Stream) exchange(req *fasthttp.Request) error {
-	wr, _ := writers.Get().(*bufio.Writer)
+	wr, _ := writerPool.Get().(*bufio.Writer)
 	wr.Reset(st.conn)
 	defer func() {
 		wr.Reset(nil)
-		writers.Put(wr)
+		writerPool.Put(wr)
 	}()
 	if err := req.Write(wr); err != nil {
 		return err
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// chunkedLength is what the library reports of a chunked body.
+// chunkedLength is the content length that fasthttp reports for a chunked body.
 const chunkedLength = -1
 
 func bodyOf(rd *bufio.Reader, length int) io.Reader {
@@ -105,22 +106,23 @@
 	}
 }
 
-// idleConn fails a read that makes no progress within timeout, or a quarter
-// more: the deadline is moved that seldom, which saves a timer operation for
-// each token.
+// idleConn fails a read that makes no progress within timeout. The read may
+// take up to a quarter longer to fail, because the deadline is extended only
+// once per quarter of the timeout. This saves a timer operation per token.
 type idleConn struct {
 	net.Conn
-	timeout time.Duration
-	moved   time.Time
+	timeout       time.Duration
+	deadlineSetAt time.Time
 }
 
+// deadlineSteps is the number of deadline extensions per timeout.
 const deadlineSteps = 4
 
 // Read implements net.Conn.
 func (ic *idleConn) Read(into []byte) (int, error) {
 	step := ic.timeout / deadlineSteps
-	if now := time.Now(); ic.timeout > 0 && now.Sub(ic.moved) >= step {
-		ic.moved = now
+	if now := time.Now(); ic.timeout > 0 && now.Sub(ic.deadlineSetAt) >= step {
+		ic.deadlineSetAt = now
 		if err := ic.SetReadDeadline(now.Add(ic.timeout + step)); err != nil {
 			return 0, err
 		}
--- a/internal/endpoint/doc.go
+++ b/internal/endpoint/doc.go
@@ -1,19 +1,22 @@
-// Package endpoint is the client of back ends: model engines and plain
-// services, through their published HTTP interface.
+// Package endpoint is the HTTP client for back ends, which are model engines and
+// plain services.
 //
-// A generation has an id that the entry chooses. Starting the same id twice at
-// one engine joins the running generation, so a start whose answer was lost
-// can be repeated, and Resume goes on from any offset on a new connection.
+// Each generation has an ID that the entry instance chooses. Starting an ID that
+// is already running at the engine joins the running generation, so a start is
+// idempotent and can be retried after a lost response. Resume continues to read
+// a generation from any offset on a new connection.
 //
 // # Usage
 //
 //	cl := &endpoint.Client{IdleTimeout: 5 * time.Second}
 //	st, err := cl.Generate(en.URL, endpoint.Generation{ID: id, Body: body})
+//	if err != nil { return err }
+//	defer st.Close()
 //	for {
 //		var ev endpoint.Event
-//		if err := st.Next(&ev); err != nil { ... } // io.EOF after the last event
+//		if err := st.Next(&ev); err != nil { return err } // io.EOF after the last event
 //	}
 //
-// Errors say whether the endpoint can have begun the work: kind Refused and
-// Unreachable mean that it did not, kind Lost that nothing is known.
+// The kind of an error says whether the endpoint may have started the work.
+// Refused and Unreachable mean that it has not. Lost means that this is unknown.
 package endpoint
--- a/internal/endpoint/error.go
+++ b/internal/endpoint/error.go
@@ -5,33 +5,37 @@
 	"fmt"
 )
 
-// ErrorKind says what a failed exchange proves.
+// ErrorKind classifies a failed request by what is known of its execution.
 type ErrorKind string
 
 // The kinds of error that this package reports.
 const (
-	// Unreachable means that no connection was made; nothing was sent.
+	// Unreachable means that no connection was established, so nothing was sent.
 	Unreachable ErrorKind = "unreachable"
-	// Refused means that the endpoint says that it did not begin.
+	// Refused means that the endpoint answered that it did not start the work.
 	Refused ErrorKind = "refused"
-	// Lost means that the request was sent and the answer did not come whole.
+	// Lost means that the request may have been sent, but no complete response
+	// was received.
 	Lost ErrorKind = "lost"
-	// Silent means that a stream made no progress within the idle timeout.
+	// Silent means that no response arrived within the timeout of the request, or
+	// that a stream made no progress within the idle timeout.
 	Silent ErrorKind = "silent"
 	// Gone means that the endpoint does not know the generation.
 	Gone ErrorKind = "gone"
 	// Failed means that the endpoint ran the request and failed.
 	Failed ErrorKind = "failed"
-	// Crossed means that an answer belongs to another request.
+	// Crossed means that an event belongs to another generation or does not have
+	// the expected offset.
 	Crossed ErrorKind = "crossed"
-	// Fenced means that an order carried an old fencing number.
+	// Fenced means that an order carried an outdated fencing token.
 	Fenced ErrorKind = "fenced"
 )
 
 // Error is the error type of this package.
 type Error struct {
-	// Op is the exchange, for example "generate".
-	Op   string
+	// Op is the operation, for example "generate".
+	Op string
+	// URL is the base address of the endpoint.
 	URL  string
 	Kind ErrorKind
 	// Err is the cause, or nil.
@@ -49,7 +53,7 @@
 // Unwrap returns the cause.
 func (er *Error) Unwrap() error { return er.Err }
 
-// IsKind tells whether err is an endpoint error of that kind.
+// IsKind reports whether err is or wraps an Error of that kind.
 func IsKind(err error, ki ErrorKind) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Kind == ki
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -10,37 +10,37 @@
 	"sync"
 )
 
-// streamBufferBytes also bounds the line of one event.
+// streamBufferBytes is the buffer size and thus the longest line of an event.
 const streamBufferBytes = 4096
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, streamBufferBytes) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, streamBufferBytes) }}
 
-// Stream reads the events of one generation. It checks that each event belongs
-// to the generation and follows the one before it.
+// Stream reads the events of one generation. It verifies that each event belongs
+// to the generation and has the next offset.
 type Stream struct {
 	url    string
 	id     []byte
 	next   int64
 	status int
 	conn   net.Conn
-	// raw reads the connection, rd the body.
+	// raw reads from the connection. rd reads the response body from raw.
 	raw  *bufio.Reader
 	rd   *bufio.Reader
 	done bool
 }
 
 func newStream(url, id string, offset int64, conn net.Conn) *Stream {
-	raw, _ := readers.Get().(*bufio.Reader)
+	raw, _ := readerPool.Get().(*bufio.Reader)
 	raw.Reset(conn)
-	rd, _ := readers.Get().(*bufio.Reader)
+	rd, _ := readerPool.Get().(*bufio.Reader)
 	return &Stream{url: url, id: []byte(id), next: offset, conn: conn, raw: raw, rd: rd}
 }
 
-// Offset returns the offset of the next token.
+// Offset returns the offset of the next token to be read.
 func (st *Stream) Offset() int64 { return st.next }
 
-// Buffered tells whether a whole event can be read without waiting. The blank
-// line that ends the event before it does not count.
+// Buffered reports whether Next can return a complete event without blocking. It
+// skips the blank line that ends the previous event.
 func (st *Stream) Buffered() bool {
 	if st.done {
 		return false
@@ -49,8 +49,8 @@
 	return bytes.Contains(bytes.TrimLeft(rest, "\r\n"), eventEnd)
 }
 
-// Interrupt makes a blocked Next and all later ones fail. It may be called
-// while another goroutine reads.
+// Interrupt closes the connection, so that a blocked call of Next and all later
+// ones fail. It may be called while another goroutine is in Next.
 func (st *Stream) Interrupt() { _ = st.conn.Close() }
 
 var (
@@ -60,9 +60,10 @@
 	doneData  = []byte("[DONE]")
 )
 
-// Next reads the next event. It returns io.EOF behind the last one, which has
-// Done set; an end before that is an error of kind Lost or Silent. An event
-// that belongs elsewhere is an error of kind Crossed.
+// Next reads the next event. The last event has Done set, and after it Next
+// returns io.EOF. An error of kind Lost or Silent means that the stream ended
+// before the last event, and one of kind Crossed that an event belongs to
+// another generation or has the wrong offset.
 func (st *Stream) Next(ev *Event) error {
 	if st.done {
 		return io.EOF
@@ -71,7 +72,7 @@
 	for {
 		line, err := st.rd.ReadSlice('\n')
 		if err != nil {
-			return st.lost(err)
+			return st.readError(err)
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		switch {
@@ -95,7 +96,7 @@
 		return nil
 	}
 	if ev.Offset != st.next {
-		return st.crossed("offset " + strconv.FormatInt(ev.Offset, 10) + " where " + strconv.FormatInt(st.next, 10) + " was due")
+		return st.mismatch("offset " + strconv.FormatInt(ev.Offset, 10) + " where " + strconv.FormatInt(st.next, 10) + " was due")
 	}
 	st.next++
 	ev.Data = data
@@ -105,23 +106,23 @@
 func (st *Stream) parseID(field []byte) (int64, error) {
 	cut := bytes.LastIndexByte(field, '/')
 	if cut < 0 || !bytes.Equal(field[:cut], st.id) {
-		return 0, st.crossed("event of another generation")
+		return 0, st.mismatch("event of another generation")
 	}
 	var offset int64
 	for _, ch := range field[cut+1:] {
 		if ch < '0' || ch > '9' {
-			return 0, st.crossed("event without an offset")
+			return 0, st.mismatch("event without an offset")
 		}
 		offset = offset*10 + int64(ch-'0')
 	}
 	return offset, nil
 }
 
-func (st *Stream) crossed(detail string) error {
+func (st *Stream) mismatch(detail string) error {
 	return &Error{Op: "stream", URL: st.url, Kind: Crossed, Err: errors.New(detail)}
 }
 
-func (st *Stream) lost(err error) error {
+func (st *Stream) readError(err error) error {
 	ki := Lost
 	var ne net.Error
 	switch {
@@ -133,9 +134,9 @@
 	return &Error{Op: "stream", URL: st.url, Kind: ki, Err: err}
 }
 
-// Close closes the connection, which serves one stream only: a kept one could
-// have gone silent unnoticed. A generation that is not over goes on at the
-// engine until its grace for resuming ends; Cancel ends it at once.
+// Close closes the connection. It is not reused, because an idle connection may
+// die unnoticed. A generation that has not ended continues at the engine until
+// the engine's grace period for resuming is over. Cancel ends it at once.
 func (st *Stream) Close() {
 	if st.raw == nil {
 		return
@@ -143,7 +144,7 @@
 	_ = st.conn.Close()
 	st.raw.Reset(nil)
 	st.rd.Reset(nil)
-	readers.Put(st.raw)
-	readers.Put(st.rd)
+	readerPool.Put(st.raw)
+	readerPool.Put(st.rd)
 	st.raw, st.rd = nil, nil
 }
