--- a/internal/healthcheck/checker.go
+++ b/internal/healthcheck/checker.go
@@ -12,42 +12,43 @@
 )
 
 const (
-	// interval is the pause between two rounds: an engine goes 1.5 s after its
-	// notice, and what it says of itself is half a second old.
-	interval = 250 * time.Millisecond
-	// askTimeout bounds one question.
-	askTimeout = 400 * time.Millisecond
-	// maxAsked bounds the questions of one round that are open at once.
-	maxAsked = 32
+	// probeInterval is the time between two rounds. An engine shuts down 1.5 s
+	// after its notice, and its answer to a probe is up to half a second old.
+	probeInterval = 250 * time.Millisecond
+	// probeTimeout is the timeout of one round of probes.
+	probeTimeout = 400 * time.Millisecond
+	// maxConcurrentProbes limits the in-flight probes of one round.
+	maxConcurrentProbes = 32
 )
 
-// Engines answers for engines.
+// Engines sends probes to engines.
 type Engines interface {
-	// Leaving asks an engine whether it is about to leave.
+	// Leaving asks an engine whether it is about to shut down. An error means
+	// that the engine did not answer.
 	Leaving(ctx context.Context, en roster.Endpoint) (bool, error)
 }
 
-// Checker asks engines. Set the fields before Run.
+// Checker probes engines. Set the fields before Run.
 type Checker struct {
 	Engines Engines
 	// Runs returns the engines at which this instance has runs.
 	Runs func() []roster.Endpoint
-	// Stale tells whether what is known of the store is old.
+	// Stale reports whether the view of the store is stale.
 	Stale func() bool
-	// Leave takes in that an engine leaves.
+	// Leave is called with the ID of an engine that is about to shut down.
 	Leave func(id string)
 	Clock clockwork.Clock
 	Log   zerolog.Logger
 
-	asking bool
+	probing bool
 }
 
 // Name implements controller.Controller.
 func (*Checker) Name() string { return "healthcheck" }
 
-// Run implements controller.Controller.
+// Run probes the engines at probeInterval until ctx ends.
 func (ch *Checker) Run(ctx context.Context) error {
-	ti := ch.Clock.NewTicker(interval)
+	ti := ch.Clock.NewTicker(probeInterval)
 	defer ti.Stop()
 	for {
 		select {
@@ -55,45 +56,47 @@
 			return nil
 		case <-ti.Chan():
 		}
-		ch.round(ctx)
+		ch.probeAll(ctx)
 	}
 }
 
-// round asks each engine once, if the store can't tell.
-func (ch *Checker) round(ctx context.Context) {
+// probeAll probes each engine once if the view of the store is stale. Engines
+// that are known to be leaving are skipped.
+func (ch *Checker) probeAll(ctx context.Context) {
 	stale := ch.Stale()
-	if stale != ch.asking {
-		ch.asking = stale
-		ch.Log.Info().Str("event", "engines_asked").Bool("asking", stale).Msg("healthcheck: engines are asked while the store can't tell")
+	if stale != ch.probing {
+		ch.probing = stale
+		ch.Log.Info().Str("event", "engines_asked").Bool("asking", stale).Msg("healthcheck: engines are probed only while the view of the store is stale")
 	}
 	if !stale {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	eg, ctx := errgroup.WithContext(ctx)
-	eg.SetLimit(maxAsked)
+	eg.SetLimit(maxConcurrentProbes)
 	for _, en := range ch.Runs() {
 		if en.Leaving {
 			continue
 		}
 		eg.Go(func() error {
-			ch.ask(ctx, en)
+			ch.probe(ctx, en)
 			return nil
 		})
 	}
-	_ = eg.Wait() // no question fails the round
+	_ = eg.Wait() // the functions return no errors
 }
 
-// ask asks one engine. No answer proves nothing: the way may be cut.
-func (ch *Checker) ask(ctx context.Context, en roster.Endpoint) {
+// probe probes one engine. A missing answer does not mean that the engine is
+// about to shut down, because the network path may be interrupted.
+func (ch *Checker) probe(ctx context.Context, en roster.Endpoint) {
 	leaving, err := ch.Engines.Leaving(ctx, en)
 	if err != nil {
-		ch.Log.Debug().Str("event", "engine_silent").Str("endpoint", en.ID).Err(err).Msg("healthcheck: no answer")
+		ch.Log.Debug().Str("event", "engine_silent").Str("endpoint", en.ID).Err(err).Msg("healthcheck: engine did not answer the probe; its state is left unchanged")
 		return
 	}
 	if leaving {
-		ch.Log.Info().Str("event", "engine_leaves").Str("endpoint", en.ID).Msg("healthcheck: the engine says that it leaves")
+		ch.Log.Info().Str("event", "engine_leaves").Str("endpoint", en.ID).Msg("healthcheck: engine reports that it is about to shut down")
 		ch.Leave(en.ID)
 	}
 }
--- a/internal/healthcheck/checker_test.go
+++ b/internal/healthcheck/checker_test.go
@@ -14,44 +14,44 @@
 	"filbertstall.example/filbertstall/internal/roster"
 )
 
-// fakeEngines says of each engine whether it leaves; one without a word does
-// not answer.
+// fakeEngines answers probes from reports, which says for each engine whether it
+// is about to shut down. Engines that are not in reports do not answer.
 type fakeEngines struct {
-	mu    sync.Mutex
-	says  map[string]bool
-	asked []string
+	mu      sync.Mutex
+	reports map[string]bool
+	probed  []string
 }
 
 func (fe *fakeEngines) Leaving(_ context.Context, en roster.Endpoint) (bool, error) {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
-	fe.asked = append(fe.asked, en.ID)
-	leaving, known := fe.says[en.ID]
+	fe.probed = append(fe.probed, en.ID)
+	leaving, known := fe.reports[en.ID]
 	if !known {
 		return false, errors.New("no answer")
 	}
 	return leaving, nil
 }
 
-// Pattern: engines are reclaimed while the store is down. What they say of
-// themselves counts; silence does not.
+// Scenario: engines are reclaimed while the store is down. An engine that reports
+// its shutdown is marked as leaving. One that does not answer is not.
 func TestEnginesAreAskedWhileTheStoreCantTell(t *testing.T) {
 	for _, ca := range []struct {
-		name  string
-		stale bool
-		says  map[string]bool
-		asked []string
-		left  []string
+		name    string
+		stale   bool
+		reports map[string]bool
+		probed  []string
+		marked  []string
 	}{
-		{"in calm times nobody is asked", false, map[string]bool{"e1": true}, nil, nil},
-		{"one leaves", true, map[string]bool{"e1": false, "e2": true}, []string{"e1", "e2"}, []string{"e2"}},
-		{"silence proves nothing", true, nil, []string{"e1", "e2"}, nil},
+		{"no probes while the view of the store is fresh", false, map[string]bool{"e1": true}, nil, nil},
+		{"one engine reports its shutdown", true, map[string]bool{"e1": false, "e2": true}, []string{"e1", "e2"}, []string{"e2"}},
+		{"engines that do not answer are not marked", true, nil, []string{"e1", "e2"}, nil},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
 			g := NewWithT(t)
-			fe := &fakeEngines{says: ca.says}
+			fe := &fakeEngines{reports: ca.reports}
 			var mu sync.Mutex
-			var left []string
+			var marked []string
 			ch := &Checker{
 				Engines: fe, Stale: func() bool { return ca.stale }, Clock: clockwork.NewFakeClock(), Log: zerolog.Nop(),
 				Runs: func() []roster.Endpoint {
@@ -60,12 +60,12 @@
 				Leave: func(id string) {
 					mu.Lock()
 					defer mu.Unlock()
-					left = append(left, id)
+					marked = append(marked, id)
 				},
 			}
-			ch.round(t.Context())
-			g.Expect(fe.asked).To(ConsistOf(ca.asked))
-			g.Expect(left).To(Equal(ca.left))
+			ch.probeAll(t.Context())
+			g.Expect(fe.probed).To(ConsistOf(ca.probed))
+			g.Expect(marked).To(Equal(ca.marked))
 		})
 	}
 }
@@ -83,7 +83,7 @@
 	go func() { done <- ch.Run(ctx) }()
 	for want := int64(1); want <= 3; want++ {
 		g.Expect(clock.BlockUntilContext(ctx, 1)).To(Succeed())
-		clock.Advance(interval)
+		clock.Advance(probeInterval)
 		g.Eventually(rounds.Load, "5s").Should(Equal(want))
 	}
 	cancel()
--- a/internal/healthcheck/doc.go
+++ b/internal/healthcheck/doc.go
@@ -1,11 +1,11 @@
-// Package healthcheck asks engines themselves whether they leave, while the
-// store can't tell: its notices don't arrive when it is down, or when it turns
-// this instance away, and an engine whose leaving is missed takes its streams
-// with it.
+// Package healthcheck probes engines to learn whether they are about to shut
+// down. It is the fallback for times when the store cannot report this, because
+// it is down or rejects this instance. The streams at an engine are lost if its
+// shutdown goes unnoticed.
 //
-// Only engines with runs of this instance are asked, and only while what is
-// known of the store is old: each question has a price, and in calm times the
-// store's notice is as early.
+// An instance probes only engines that serve its own runs, and only while its
+// view of the store is stale. Each probe costs a request, and the notices of an
+// available store arrive as early as the answer to a probe.
 //
 // # Usage
 //
