--- a/pkg/kind/configuration.go
+++ b/pkg/kind/configuration.go
@@ -2,9 +2,9 @@
 
 import "encoding/json"
 
-// Document is the wire form of a Configuration.
+// Document is the JSON representation of a Configuration.
 type Document struct {
-	// Version rises by one with each accepted change.
+	// Version increases by one with each accepted change.
 	Version   int64      `json:"version"`
 	Halves    []Half     `json:"halves,omitempty"`
 	Zones     []Zone     `json:"zones,omitempty"`
@@ -13,8 +13,8 @@
 	Endpoints []Endpoint `json:"endpoints,omitempty"`
 }
 
-// Configuration is one version of all that operators have configured. It is
-// immutable and safe for concurrent use.
+// Configuration is one version of all objects that operators have configured. It
+// is immutable and safe for concurrent use.
 type Configuration struct {
 	version   int64
 	halves    table[Half]
@@ -28,7 +28,10 @@
 	byModel    map[string]Service
 }
 
-// NewConfiguration builds a configuration and checks every reference in it.
+// NewConfiguration builds a configuration from a document. It checks names,
+// tokens and the models of services for duplicates, and that each referenced
+// object exists. It does not validate the other fields of the objects. An error
+// is an *Error of kind Duplicate or Dangling.
 func NewConfiguration(doc Document) (*Configuration, error) {
 	cf := &Configuration{version: doc.Version}
 	var err error
@@ -53,7 +56,7 @@
 	return cf, nil
 }
 
-// index builds the derived lookups and checks references between objects.
+// index builds the lookup tables and checks the references between objects.
 func (cf *Configuration) index() error {
 	cf.teamByHash = make(map[string]Team, len(cf.teams.sorted))
 	cf.byService = make(map[string][]Endpoint, len(cf.services.sorted))
@@ -132,56 +135,59 @@
 	return nil
 }
 
-// Version returns the version number, which rises with each accepted change.
+// Version returns the version number, which increases with each accepted change.
 func (cf *Configuration) Version() int64 { return cf.version }
 
-// Halves returns the halves in name order. The caller must not change it.
+// Halves returns the halves in name order. The caller must not modify the slice.
 func (cf *Configuration) Halves() []Half { return cf.halves.sorted }
 
-// Zones returns the zones in name order. The caller must not change it.
+// Zones returns the zones in name order. The caller must not modify the slice.
 func (cf *Configuration) Zones() []Zone { return cf.zones.sorted }
 
-// Teams returns the teams in name order. The caller must not change it.
+// Teams returns the teams in name order. The caller must not modify the slice.
 func (cf *Configuration) Teams() []Team { return cf.teams.sorted }
 
-// Services returns the services in name order. The caller must not change it.
+// Services returns the services in name order. The caller must not modify the
+// slice.
 func (cf *Configuration) Services() []Service { return cf.services.sorted }
 
-// Endpoints returns the endpoints in name order. The caller must not change it.
+// Endpoints returns the endpoints in name order. The caller must not modify the
+// slice.
 func (cf *Configuration) Endpoints() []Endpoint { return cf.endpoints.sorted }
 
-// Team returns the team of that name.
+// Team returns the team with the given name, and whether it exists.
 func (cf *Configuration) Team(name string) (Team, bool) {
 	te, found := cf.teams.byName[name]
 	return te, found
 }
 
-// Zone returns the availability zone of that name.
+// Zone returns the availability zone with the given name, and whether it exists.
 func (cf *Configuration) Zone(name string) (Zone, bool) {
 	zo, found := cf.zones.byName[name]
 	return zo, found
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name, and whether it exists.
 func (cf *Configuration) Service(name string) (Service, bool) {
 	se, found := cf.services.byName[name]
 	return se, found
 }
 
-// Endpoint returns the endpoint of that name.
+// Endpoint returns the endpoint with the given name, and whether it exists.
 func (cf *Configuration) Endpoint(name string) (Endpoint, bool) {
 	en, found := cf.endpoints.byName[name]
 	return en, found
 }
 
-// TeamByToken returns the team that a bearer token belongs to.
+// TeamByToken returns the team that a bearer token belongs to, and whether there
+// is one. The token is given in clear text, not as a hash.
 func (cf *Configuration) TeamByToken(token string) (Team, bool) {
 	te, found := cf.teamByHash[HashToken(token)]
 	return te, found
 }
 
-// ModelService returns the service that serves a model to a team: that of the
-// team's half, or one that belongs to no half.
+// ModelService returns the first service by name that serves a model and is
+// reachable for the team, and whether there is one.
 func (cf *Configuration) ModelService(model string, te Team) (Service, bool) {
 	for _, se := range cf.services.sorted {
 		if se.Type == ServiceModel && se.Model == model && Reachable(se.Half, te.Half) {
@@ -191,22 +197,25 @@
 	return Service{}, false
 }
 
-// Reachable tells whether a caller of one half may use an object of another.
-// An object or a caller without a half is shared by both.
+// Reachable reports whether a caller of one half may use an object. Both
+// arguments are names of halves. An object with an empty half is shared by all
+// callers, and a caller with an empty half may use all objects.
 func Reachable(object, caller string) bool {
 	return object == "" || caller == "" || object == caller
 }
 
-// ServiceEndpoints returns the endpoints of a service in name order. The
-// caller must not change it.
+// ServiceEndpoints returns the endpoints of a service in name order. The caller
+// must not modify the slice.
 func (cf *Configuration) ServiceEndpoints(service string) []Endpoint { return cf.byService[service] }
 
-// Eligible tells whether an endpoint may get new work: it and its zone serve.
+// Eligible reports whether an endpoint may receive new work, which requires that
+// both the endpoint and its zone are serving.
 func (cf *Configuration) Eligible(en Endpoint) bool {
 	return en.Serving() && cf.zones.byName[en.Zone].Serving()
 }
 
-// Document returns the wire form.
+// Document returns the JSON representation. It shares its slices with the
+// configuration, so the caller must not modify them.
 func (cf *Configuration) Document() Document {
 	return Document{
 		Version:   cf.version,
@@ -218,10 +227,10 @@
 	}
 }
 
-// MarshalJSON encodes the wire form.
+// MarshalJSON encodes the configuration as a Document.
 func (cf *Configuration) MarshalJSON() ([]byte, error) { return json.Marshal(cf.Document()) }
 
-// UnmarshalJSON decodes and checks a configuration.
+// UnmarshalJSON decodes a Document and validates it as NewConfiguration does.
 func (cf *Configuration) UnmarshalJSON(data []byte) error {
 	var doc Document
 	if err := json.Unmarshal(data, &doc); err != nil {
@@ -251,38 +260,43 @@
 	return &next
 }
 
-// WithHalf returns a copy in which the half is added or replaced.
+// WithHalf returns a copy in which the half is added, or replaces the one of the
+// same name. The error is that of the reference checks.
 func (cf *Configuration) WithHalf(ha Half) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.halves = cf.halves.with(ha) })
 }
 
-// WithZone returns a copy in which the zone is added or replaced.
+// WithZone returns a copy in which the zone is added, or replaces the one of the
+// same name. The error is that of the reference checks.
 func (cf *Configuration) WithZone(zo Zone) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.zones = cf.zones.with(zo) })
 }
 
-// WithTeam returns a copy in which the team is added or replaced.
+// WithTeam returns a copy in which the team is added, or replaces the one of the
+// same name. The error is that of the reference checks.
 func (cf *Configuration) WithTeam(te Team) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.teams = cf.teams.with(te) })
 }
 
-// WithService returns a copy in which the service is added or replaced.
+// WithService returns a copy in which the service is added, or replaces the one
+// of the same name. The error is that of the reference checks.
 func (cf *Configuration) WithService(se Service) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.services = cf.services.with(se) })
 }
 
-// WithEndpoint returns a copy in which the endpoint is added or replaced.
+// WithEndpoint returns a copy in which the endpoint is added, or replaces the one
+// of the same name. The error is that of the reference checks.
 func (cf *Configuration) WithEndpoint(en Endpoint) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.endpoints = cf.endpoints.with(en) })
 }
 
-// WithoutEndpoint returns a copy that lacks the endpoint.
+// WithoutEndpoint returns a copy without the endpoint of that name.
 func (cf *Configuration) WithoutEndpoint(name string) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.endpoints = cf.endpoints.without(name) })
 }
 
-// DefaultZone, DefaultTeam and DefaultEndpoint are what an object of the kind
-// has where its JSON says nothing.
+// DefaultZone, DefaultTeam and DefaultEndpoint hold the values of fields that are
+// absent from the JSON of an object.
 var (
 	DefaultZone     = Zone{State: ZoneServing}
 	DefaultTeam     = Team{Weight: 1, Role: RoleCaller}
--- a/pkg/kind/doc.go
+++ b/pkg/kind/doc.go
@@ -1,20 +1,20 @@
-// Package kind holds the domain types that filbertstall keeps in the
-// platform's object API: halves, teams, services, endpoints and availability
-// zones, and the Configuration that joins one version of all of them.
+// Package kind defines the domain types that filbertstall stores in the object
+// API of the platform: halves, teams, services, endpoints and availability zones,
+// and Configuration, which is one version of all of them.
 //
-// Every type carries its JSON tags and checks itself when it is decoded, so a
-// value that was decoded without an error can be used without further checks.
-// Values are immutable: a With method returns a changed copy.
+// Every type validates itself when it is decoded from JSON, so a value that was
+// decoded without an error needs no further checks. Treat values as immutable: a
+// With method returns a changed copy.
 //
 // # Usage
 //
 //	var cfg kind.Configuration
 //	if err := json.Unmarshal(data, &cfg); err != nil {
-//		return err // a *kind.Error that names the kind, the object and the field
+//		return err // for invalid values, a *kind.Error with the kind, the object and the field
 //	}
 //	svc, ok := cfg.Service("filbert-pool")
 //	next, err := cfg.WithTeam(team)
 //
-// A Configuration is safe for concurrent readers. It is built once for each
-// version and then published through a snapshot.Holder.
+// A Configuration is safe for concurrent use. Filbertstall builds one for each
+// version and publishes it to request handlers through a snapshot.Holder.
 package kind
--- a/pkg/kind/endpoint.go
+++ b/pkg/kind/endpoint.go
@@ -9,44 +9,53 @@
 const (
 	// EndpointServing takes new work.
 	EndpointServing EndpointState = "serving"
-	// EndpointDraining takes no new work; running work finishes.
+	// EndpointDraining takes no new work. Running work is completed.
 	EndpointDraining EndpointState = "draining"
 )
 
-// Capabilities says which optional parts of the protocol an endpoint supports.
+// Capabilities lists the optional parts of the protocol that an endpoint
+// supports.
 type Capabilities struct {
-	// ChecksFencing endpoints refuse an order with an old fencing number.
+	// ChecksFencing means that the endpoint refuses orders with an outdated
+	// fencing token.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
-	// Continuation endpoints can go on from a forced prefix with the same seed.
+	// Continuation means that the endpoint can continue a generation from a forced
+	// prefix with the same seed.
 	Continuation bool `json:"continuation,omitempty"`
-	// Priorities endpoints honour the priority of a request.
+	// Priorities means that the endpoint takes the priority of a request into
+	// account.
 	Priorities bool `json:"priorities,omitempty"`
 }
 
-// Capacity is what an endpoint bears.
+// Capacity is the capacity of an endpoint.
 type Capacity struct {
-	// MemoryTokens is the decode memory in tokens. Zero for plain services.
+	// MemoryTokens is the size of the KV-cache memory in tokens. It is zero for
+	// plain services.
 	MemoryTokens int `json:"memory_tokens,omitempty"`
-	// Sequences is the highest number of requests at once.
+	// Sequences is the maximum number of concurrent requests.
 	Sequences int `json:"sequences"`
-	// ColdSequences is the number of requests at once right after a start.
+	// ColdSequences is the maximum number of concurrent requests after a cold
+	// start. It is at least 1 and at most Sequences.
 	ColdSequences int `json:"cold_sequences"`
 }
 
 // Endpoint is a back end: one model engine or one replica of a plain service.
 type Endpoint struct {
-	Name    string `json:"name"`
+	Name string `json:"name"`
+	// Service, Zone and Half are names of objects in the same configuration. An
+	// empty Half means that the endpoint is shared by all halves.
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
 	Half    string `json:"half,omitempty"`
-	// URL is the base address, scheme and IP number with port.
+	// URL is the base address with scheme, IP address and port.
 	URL          string        `json:"url"`
 	State        EndpointState `json:"state"`
 	Capabilities Capabilities  `json:"capabilities"`
 	Capacity     Capacity      `json:"capacity"`
 }
 
-// Serving tells whether the endpoint takes new work.
+// Serving reports whether the state of the endpoint allows new work. The state
+// of its zone is not considered.
 func (en Endpoint) Serving() bool { return en.State == EndpointServing }
 
 // WithState returns a copy of the endpoint in state st.
@@ -61,7 +70,8 @@
 	return en
 }
 
-// Validate checks the fields of the endpoint.
+// Validate checks the fields of the endpoint. References to other objects are
+// checked by NewConfiguration.
 func (en Endpoint) Validate() error {
 	if err := checkName("endpoint", en.Name); err != nil {
 		return err
@@ -84,16 +94,17 @@
 	return nil
 }
 
-// UnmarshalJSON decodes and checks an endpoint. An absent state means serving,
-// an absent capacity means one request at once.
+// UnmarshalJSON decodes and validates an endpoint. Absent fields have the values
+// of DefaultEndpoint: the state is serving, and the capacity is one concurrent
+// request.
 func (en *Endpoint) UnmarshalJSON(data []byte) error {
 	next, err := DefaultEndpoint.WithFields(data)
 	*en = next
 	return err
 }
 
-// WithFields returns a checked copy in which the fields of a JSON object are
-// changed and all others are kept.
+// WithFields returns a validated copy in which the fields of a JSON object
+// replace those of the endpoint. Fields that the JSON lacks keep their values.
 func (en Endpoint) WithFields(data []byte) (Endpoint, error) {
 	type plain Endpoint
 	pl := plain(en)
--- a/pkg/kind/error.go
+++ b/pkg/kind/error.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrorKind says which check a value failed.
+// ErrorKind classifies the check that a value failed.
 type ErrorKind string
 
 // The kinds of error that this package reports.
@@ -16,9 +16,10 @@
 	Invalid ErrorKind = "invalid"
 	// Dangling means that a reference names an object that does not exist.
 	Dangling ErrorKind = "dangling"
-	// Duplicate means that two objects of one kind share a name or a secret.
+	// Duplicate means that two objects of one kind share a name, a token, or a
+	// model within one half.
 	Duplicate ErrorKind = "duplicate"
-	// Malformed means that the data is not JSON of the expected shape.
+	// Malformed means that the data is not valid JSON for the type.
 	Malformed ErrorKind = "malformed"
 )
 
@@ -26,13 +27,13 @@
 type Error struct {
 	// Op names the kind that was checked, for example "team".
 	Op string
-	// Name is the name of the object, empty if it has none yet.
+	// Name is the name of the object. It is empty if the object has none.
 	Name string
-	// Field is the JSON name of the field at fault.
+	// Field is the JSON name of the invalid field. It is "json" for kind
+	// Malformed.
 	Field string
-	// Kind says which check failed.
-	Kind ErrorKind
-	// Detail says what is wrong and what is allowed.
+	Kind  ErrorKind
+	// Detail describes the error and the allowed values.
 	Detail string
 }
 
--- a/pkg/kind/kind_test.go
+++ b/pkg/kind/kind_test.go
@@ -28,10 +28,10 @@
 		{Method: "GET", Path: "/catalogue/{id}", Idempotent: true},
 		{Method: "POST", Path: "/loans"},
 	}}
-	DescribeTable("declares only what a route declares",
+	DescribeTable("is true only for calls that a route declares as idempotent",
 		func(method, path string, want bool) { Expect(se.Idempotent(method, path)).To(Equal(want)) },
 		Entry("declared", "GET", "/catalogue/7", true),
-		Entry("declared not", "POST", "/loans", false),
+		Entry("declared as not idempotent", "POST", "/loans", false),
 		Entry("other method", "PUT", "/catalogue/7", false),
 		Entry("deeper path", "GET", "/catalogue/7/pages", false),
 		Entry("empty segment", "GET", "/catalogue/", false),
@@ -40,7 +40,7 @@
 })
 
 var _ = Describe("decoding", func() {
-	DescribeTable("refuses what is not allowed",
+	DescribeTable("returns an error of the right kind for invalid JSON",
 		func(into any, text string, ki kind.ErrorKind) {
 			var er *kind.Error
 			err := json.Unmarshal([]byte(text), into)
@@ -51,7 +51,7 @@
 		Entry("team without a name", new(kind.Team), `{}`, kind.Missing),
 		Entry("team with a token in clear", new(kind.Team), `{"name":"a","token_hashes":["secret"]}`, kind.Invalid),
 		Entry("endpoint without a URL", new(kind.Endpoint), `{"name":"e"}`, kind.Invalid),
-		Entry("endpoint with more cold than warm", new(kind.Endpoint), `{"name":"e","url":"http://127.0.0.1:1","capacity":{"sequences":1,"cold_sequences":2}}`, kind.Invalid),
+		Entry("endpoint with more cold sequences than sequences", new(kind.Endpoint), `{"name":"e","url":"http://127.0.0.1:1","capacity":{"sequences":1,"cold_sequences":2}}`, kind.Invalid),
 		Entry("configuration with a dangling zone", new(kind.Configuration), `{"services":[{"name":"s","type":"plain"}],"endpoints":[{"name":"e","service":"s","zone":"z","url":"http://127.0.0.1:1"}]}`, kind.Dangling),
 		Entry("two teams with one token", new(kind.Configuration), `{"teams":[{"name":"a","token_hashes":["`+kind.HashToken("t")+`"]},{"name":"b","token_hashes":["`+kind.HashToken("t")+`"]}]}`, kind.Duplicate),
 	)
--- a/pkg/kind/service.go
+++ b/pkg/kind/service.go
@@ -5,39 +5,44 @@
 	"strings"
 )
 
-// ServiceType says how a service is called.
+// ServiceType is the protocol of a service.
 type ServiceType string
 
 // The types of service.
 const (
 	// ServiceModel serves language-model generations.
 	ServiceModel ServiceType = "model"
-	// ServicePlain serves ordinary HTTP calls.
+	// ServicePlain serves ordinary HTTP requests.
 	ServicePlain ServiceType = "plain"
 )
 
-// Route declares how calls of one HTTP method and path may be treated.
+// Route declares whether calls of one HTTP method and path are idempotent.
 type Route struct {
 	Method string `json:"method"`
-	// Path is matched whole; a segment in braces matches any one segment.
+	// Path is matched against the whole path of a call. A segment in braces, for
+	// example "{id}", matches any one segment that is not empty.
 	Path string `json:"path"`
-	// Idempotent calls may be repeated and hedged.
+	// Idempotent allows retries and hedged requests.
 	Idempotent bool `json:"idempotent"`
 }
 
-// Service is a named group of endpoints that answer the same requests.
+// Service is a named group of endpoints that serve the same requests.
 type Service struct {
-	Name string      `json:"name"`
+	Name string `json:"name"`
+	// Half is the name of the half that the service belongs to. If it is empty,
+	// the service is shared by all halves.
 	Half string      `json:"half,omitempty"`
 	Type ServiceType `json:"type"`
-	// Model is the model name that callers ask for. Only for type model.
+	// Model is the model name that callers request. It is set for type "model"
+	// only.
 	Model string `json:"model,omitempty"`
-	// Routes declares idempotency. A call that matches none is not repeatable.
+	// Routes declares which calls are idempotent. The first match applies. A call
+	// that matches none is not idempotent.
 	Routes []Route `json:"routes,omitempty"`
 }
 
-// Idempotent tells whether a call may be repeated. Calls that are not declared
-// are not repeatable.
+// Idempotent reports whether a call is declared as idempotent and may be retried.
+// A call that matches no route is not idempotent.
 func (se Service) Idempotent(method, path string) bool {
 	for _, ro := range se.Routes {
 		if ro.Method == method && matchPath(ro.Path, path) {
@@ -96,15 +101,15 @@
 	return nil
 }
 
-// UnmarshalJSON decodes and checks a service.
+// UnmarshalJSON decodes and validates a service.
 func (se *Service) UnmarshalJSON(data []byte) error {
 	next, err := Service{}.WithFields(data)
 	*se = next
 	return err
 }
 
-// WithFields returns a checked copy in which the fields of a JSON object are
-// changed and all others are kept.
+// WithFields returns a validated copy in which the fields of a JSON object
+// replace those of the service. Fields that the JSON lacks keep their values.
 func (se Service) WithFields(data []byte) (Service, error) {
 	type plain Service
 	pl := plain(se)
--- a/pkg/kind/slope_test.go
+++ b/pkg/kind/slope_test.go
@@ -10,9 +10,10 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// sized returns a configuration with as many teams for each endpoint as the
-// stated target has.
-func sized(endpoints int) kind.Document {
+// proportionalDocument returns a document with the given number of endpoints. It
+// has the ratio of teams to endpoints of the stated target, which is 290 teams
+// and 1200 endpoints.
+func proportionalDocument(endpoints int) kind.Document {
 	const targetEndpoints, targetTeams, models, zones = 1200, 290, 5, 8
 	doc := kind.Document{Version: 1}
 	for ix := range zones {
@@ -35,10 +36,11 @@
 	return doc
 }
 
-// BenchmarkSlopeConfiguration measures a configuration's size, memory and decoding.
+// BenchmarkSlopeConfiguration measures the JSON size, heap memory and decoding
+// time of configurations with 150, 600 and 1200 endpoints.
 func BenchmarkSlopeConfiguration(b *testing.B) {
 	for _, endpoints := range []int{150, 600, 1200} {
-		data, err := json.Marshal(sized(endpoints))
+		data, err := json.Marshal(proportionalDocument(endpoints))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -46,12 +48,12 @@
 		runtime.GC()
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		begun := time.Now()
+		start := time.Now()
 		cf := new(kind.Configuration)
 		if err := json.Unmarshal(data, cf); err != nil {
 			b.Fatal(err)
 		}
-		took := time.Since(begun)
+		elapsed := time.Since(start)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		runtime.KeepAlive(data)
@@ -59,6 +61,6 @@
 			b.Fatalf("%d endpoints, want %d", len(cf.Endpoints()), endpoints)
 		}
 		b.Logf("slope: configuration endpoints=%d json_bytes=%d heap_bytes=%d decode_us=%d",
-			endpoints, len(data), int64(after.HeapAlloc)-int64(before.HeapAlloc), took.Microseconds())
+			endpoints, len(data), int64(after.HeapAlloc)-int64(before.HeapAlloc), elapsed.Microseconds())
 	}
 }
--- a/pkg/kind/table.go
+++ b/pkg/kind/table.go
@@ -5,16 +5,18 @@
 	"slices"
 )
 
-// named is a kind that a table can hold.
+// named is the type set of the objects that a table can hold.
 type named interface {
 	Half | Team | Service | Endpoint | Zone
 }
 
-// table is an immutable set of objects of one kind, by name.
+// table is an immutable set of objects of one type, indexed by name.
 type table[T named] struct {
 	byName map[string]T
+	// sorted holds the objects in name order.
 	sorted []T
-	name   func(T) string
+	// name returns the name of an object.
+	name func(T) string
 }
 
 func newTable[T named](op string, name func(T) string, list []T) (table[T], error) {
--- a/pkg/kind/team.go
+++ b/pkg/kind/team.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Role is what a bearer token may do.
+// Role is the permission of a bearer token.
 type Role string
 
-// The roles of a token. A caller sends requests; the other three are for
-// operators, each including the one before it.
+// The roles of a token. RoleCaller allows requests to services. The other three
+// are for operators, and each of them includes the one before it.
 const (
 	RoleCaller  Role = "caller"
 	RoleView    Role = "view"
@@ -18,27 +18,33 @@
 	RoleConfirm Role = "confirm"
 )
 
-// Team is a group of callers that shares tokens and a weight in the queues.
+// Team is a group of callers that share bearer tokens and a weight in the fair
+// queues.
 type Team struct {
 	Name string `json:"name"`
+	// Half is the name of the half that the team belongs to. If it is empty, the
+	// team may use the objects of all halves.
 	Half string `json:"half,omitempty"`
-	// Weight is the team's share in the fair queues relative to other teams.
+	// Weight is the share of the team in the fair queues relative to other teams,
+	// from 1 to 1000.
 	Weight int `json:"weight"`
 	// TokenHashes are the hex SHA-256 digests of the team's bearer tokens.
 	TokenHashes []string `json:"token_hashes"`
-	// Role says what the team's tokens may do.
+	// Role is the permission of all tokens of the team.
 	Role Role `json:"role"`
 }
 
 const maxTeamWeight = 1000
 
-// HashToken returns the digest under which a bearer token is kept.
+// HashToken returns the hex SHA-256 digest of a bearer token, as in
+// Team.TokenHashes.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// May tells whether the team's role includes want.
+// May reports whether the role of the team includes want. RoleCaller and the
+// roles of operators do not include each other.
 func (te Team) May(want Role) bool {
 	if want == RoleCaller || te.Role == RoleCaller {
 		return te.Role == want
@@ -78,16 +84,16 @@
 	return nil
 }
 
-// UnmarshalJSON decodes and checks a team. An absent weight means 1, an
-// absent role means caller.
+// UnmarshalJSON decodes and validates a team. Absent fields have the values of
+// DefaultTeam: the weight is 1, and the role is RoleCaller.
 func (te *Team) UnmarshalJSON(data []byte) error {
 	next, err := DefaultTeam.WithFields(data)
 	*te = next
 	return err
 }
 
-// WithFields returns a checked copy in which the fields of a JSON object are
-// changed and all others are kept.
+// WithFields returns a validated copy in which the fields of a JSON object
+// replace those of the team. Fields that the JSON lacks keep their values.
 func (te Team) WithFields(data []byte) (Team, error) {
 	type plain Team
 	pl := plain(te)
--- a/pkg/kind/zone.go
+++ b/pkg/kind/zone.go
@@ -7,19 +7,20 @@
 const (
 	// ZoneServing takes new work.
 	ZoneServing ZoneState = "serving"
-	// ZoneOut takes no new work; running work finishes.
+	// ZoneOut takes no new work. Running work is completed.
 	ZoneOut ZoneState = "out"
 )
 
 // Zone is an availability zone.
 type Zone struct {
-	Name   string    `json:"name"`
-	Region string    `json:"region"`
-	Half   string    `json:"half,omitempty"`
-	State  ZoneState `json:"state"`
+	Name   string `json:"name"`
+	Region string `json:"region"`
+	// Half is the name of the half that the zone belongs to. It may be empty.
+	Half  string    `json:"half,omitempty"`
+	State ZoneState `json:"state"`
 }
 
-// Serving tells whether the zone takes new work.
+// Serving reports whether the state of the zone allows new work.
 func (zo Zone) Serving() bool { return zo.State == ZoneServing }
 
 // WithState returns a copy of the zone in state st.
@@ -45,15 +46,15 @@
 	return nil
 }
 
-// UnmarshalJSON decodes and checks a zone. An absent state means serving.
+// UnmarshalJSON decodes and validates a zone. An absent state means ZoneServing.
 func (zo *Zone) UnmarshalJSON(data []byte) error {
 	next, err := DefaultZone.WithFields(data)
 	*zo = next
 	return err
 }
 
-// WithFields returns a checked copy in which the fields of a JSON object are
-// changed and all others are kept.
+// WithFields returns a validated copy in which the fields of a JSON object
+// replace those of the zone. Fields that the JSON lacks keep their values.
 func (zo Zone) WithFields(data []byte) (Zone, error) {
 	type plain Zone
 	pl := plain(zo)
