--- a/pkg/client/call.go
+++ b/pkg/client/call.go
@@ -7,31 +7,35 @@
 	"net/http"
 )
 
-// Call is a call of a plain service.
+// Call is a request to a plain service.
 type Call struct {
-	Method  string
+	// Method is the HTTP method.
+	Method string
+	// Service is the name of the service.
 	Service string
-	// Path is the path at the service, with a leading slash.
+	// Path is the path at the service, with a leading slash and the query.
 	Path        string
 	ContentType string
 	Body        []byte
-	// Key is sent as Idempotency-Key. All attempts carry the same.
+	// Key is sent as Idempotency-Key with every attempt. If it is empty, none is
+	// sent.
 	Key string
-	// Idempotent says that running the call twice is harmless.
+	// Idempotent means that it is safe to execute the call more than once.
 	Idempotent bool
 }
 
-// Answer is a service's answer.
+// Answer is the response of a service, with any HTTP status.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Attempts is how often the call was sent.
+	// Attempts is the number of times that the call was sent.
 	Attempts int
 }
 
-// Call makes a call. It sends the call again if the attempt is known not to
-// have run, or if the key or the call itself makes a second one harmless.
+// Call sends a call and retries it if a retry is safe: if the attempt is known
+// not to have run, or if its outcome is unknown and the call is idempotent or has
+// a key. An error is an *Error.
 func (cl *Client) Call(ctx context.Context, ca Call) (Answer, error) {
 	cl.prepare()
 	outcome := NotRun
@@ -46,19 +50,19 @@
 		}
 		resend := er.Outcome == NotRun || (er.Outcome == Unknown && (ca.Key != "" || ca.Idempotent))
 		er.Outcome = outcome
-		if !resend || er.final() || attempt >= cl.MaxAttempts {
+		if !resend || er.permanent() || attempt >= cl.MaxAttempts {
 			return Answer{}, er
 		}
-		if err := cl.pause(ctx, attempt, er.retryAfter()); err != nil {
+		if err := cl.waitBeforeRetry(ctx, attempt, er.retryAfter()); err != nil {
 			return Answer{}, &Error{Op: "call", Kind: Interrupted, Outcome: outcome, Err: err}
 		}
 	}
 }
 
 func (cl *Client) send(ctx context.Context, ca Call) (Answer, *Error) {
-	req, err := http.NewRequestWithContext(ctx, ca.Method, cl.entry()+"/services/"+ca.Service+ca.Path, bytes.NewReader(ca.Body))
+	req, err := http.NewRequestWithContext(ctx, ca.Method, cl.nextEntry()+"/services/"+ca.Service+ca.Path, bytes.NewReader(ca.Body))
 	if err != nil {
-		return Answer{}, brokenBy("call", err)
+		return Answer{}, transportError("call", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+cl.Token)
 	if ca.ContentType != "" {
@@ -69,11 +73,11 @@
 	}
 	resp, err := cl.HTTP.Do(req)
 	if err != nil {
-		return Answer{}, brokenBy("call", err)
+		return Answer{}, transportError("call", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if isProblem(resp) {
-		return Answer{}, refusedBy("call", resp)
+		return Answer{}, problemError("call", resp)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,6 +1,6 @@
-// Package client calls filbertstall: it streams generations, resuming at any
-// entry instance by itself, and makes calls of plain services, sending them
-// again only where that is allowed.
+// Package client is the Go client of filbertstall. It streams generations and
+// resumes an interrupted stream at any entry instance. It also calls plain
+// services and retries a call only if this is safe.
 //
 // # Usage
 //
@@ -9,13 +9,13 @@
 //	defer st.Close()
 //	for {
 //		ev, err := st.Next()
-//		if errors.Is(err, io.EOF) { break } // whole
+//		if errors.Is(err, io.EOF) { break } // the generation is complete
 //		if err != nil { return err }        // a *client.Error
 //		use(ev.Data)
 //	}
 //
-// Each token comes once and in order, or Next returns an error. An Error's
-// Outcome says what is known of the request: not_run, unknown or failed.
+// Next returns each token exactly once and in order, or an error. The Outcome of
+// an Error says whether the request was executed: not_run, unknown or failed.
 package client
 
 import (
@@ -35,31 +35,33 @@
 	defaultStartTimeout = 5 * time.Minute
 	defaultMaxAttempts  = 8
 	dialTimeout         = 2 * time.Second
-	// firstPause and maxPause bound the pause before an attempt that the
-	// server gave no Retry-After for.
-	firstPause = 50 * time.Millisecond
-	maxPause   = 2 * time.Second
+	// minBackoff and maxBackoff bound the back-off before a retry if the server
+	// sent no Retry-After.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// Client talks to a deployment. Set the fields before the first call. It is
-// safe for concurrent use.
+// Client sends requests to a deployment. Set the fields before the first call.
+// It is safe for concurrent use.
 type Client struct {
-	// Entries are the base addresses of entry instances, tried in turn.
+	// Entries are the base addresses of entry instances, used in round-robin
+	// order. There must be at least one.
 	Entries []string
 	// Token is the team's bearer token.
 	Token string
-	// IdleTimeout is how long a stream may be silent; zero means 30 s. Keep it
-	// above the time in which an entry instance recovers a stream by itself.
+	// IdleTimeout is how long a stream may receive nothing. Zero means 30 s. It
+	// must be longer than an entry instance needs to recover a stream itself.
 	IdleTimeout time.Duration
-	// StartTimeout is how long an attempt may wait for the first byte, which
-	// includes the queue; zero means 5 minutes.
+	// StartTimeout is how long an attempt of a generation may wait for the first
+	// byte, including the time in the queue. Zero means 5 minutes.
 	StartTimeout time.Duration
-	// MaxAttempts bounds attempts in a row without progress; zero means 8.
+	// MaxAttempts is the maximum number of consecutive attempts without progress.
+	// Zero means 8.
 	MaxAttempts int
-	// Clock paces attempts; nil means the real one.
+	// Clock is used for back-off and timeouts. Nil means the real clock.
 	Clock clockwork.Clock
-	// HTTP sends requests; nil means a client that opens a connection for each,
-	// because a kept one can have gone silent unnoticed.
+	// HTTP sends the requests. Nil means a client that opens a new connection for
+	// each request, because an idle connection may die unnoticed.
 	HTTP *http.Client
 
 	once sync.Once
@@ -87,16 +89,17 @@
 	})
 }
 
-// entry returns the next entry instance in turn.
-func (cl *Client) entry() string {
+// nextEntry returns the next entry instance in round-robin order.
+func (cl *Client) nextEntry() string {
 	return cl.Entries[int(cl.next.Add(1)-1)%len(cl.Entries)]
 }
 
-// pause waits before an attempt: as long as the server said, or longer with
-// each attempt and with half of it drawn, so that callers spread.
-func (cl *Client) pause(ctx context.Context, attempt int, retryAfter time.Duration) error {
+// waitBeforeRetry waits for retryAfter, or if it is zero for an exponential
+// back-off. Half of the back-off is random jitter, so that callers do not retry
+// at the same time. The error is that of ctx.
+func (cl *Client) waitBeforeRetry(ctx context.Context, attempt int, retryAfter time.Duration) error {
 	if retryAfter == 0 {
-		full := min(firstPause<<min(attempt, 10), maxPause)
+		full := min(minBackoff<<min(attempt, 10), maxBackoff)
 		retryAfter = full/2 + rand.N(full/2)
 	}
 	select {
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -23,9 +23,9 @@
 	RunSpecs(t, "Client")
 }
 
-// script answers the n-th request with its n-th handler, and any further one
-// with the last.
-func script(handlers ...http.HandlerFunc) (url string, sent *atomic.Int64) {
+// scriptedServer starts a server that handles the n-th request with the n-th
+// handler, and all further requests with the last. sent counts the requests.
+func scriptedServer(handlers ...http.HandlerFunc) (url string, sent *atomic.Int64) {
 	sent = &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, req *http.Request) {
 		handlers[min(int(sent.Add(1)), len(handlers))-1](wr, req)
@@ -49,8 +49,8 @@
 	return func(wr http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(wr, text) }
 }
 
-// cut breaks the connection without an answer.
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without a response.
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 var (
 	unknown = problem(http.StatusBadGateway, "endpoint_lost", "unknown")
@@ -58,9 +58,9 @@
 	notRun  = problem(http.StatusServiceUnavailable, "no_capacity", "not_run")
 )
 
-var _ = DescribeTable("A call is sent again only where that is allowed",
+var _ = DescribeTable("A call is retried only if that is safe",
 	func(ca client.Call, first http.HandlerFunc, sends int, outcome client.Outcome) {
-		url, sent := script(first, answer("ok"))
+		url, sent := scriptedServer(first, answer("ok"))
 		cl := &client.Client{Entries: []string{url}}
 		ca.Method, ca.Service, ca.Path = http.MethodPost, "rental-desk", "/loans"
 		an, err := cl.Call(context.Background(), ca)
@@ -76,26 +76,26 @@
 	},
 	Entry("not run, no key", client.Call{}, notRun, 2, client.Outcome("")),
 	Entry("unknown, no key", client.Call{}, unknown, 1, client.Unknown),
-	Entry("cut, no key", client.Call{}, http.HandlerFunc(cut), 1, client.Unknown),
+	Entry("connection lost, no key", client.Call{}, http.HandlerFunc(abortConnection), 1, client.Unknown),
 	Entry("unknown, with a key", client.Call{Key: "loan-1"}, unknown, 2, client.Outcome("")),
-	Entry("cut, with a key", client.Call{Key: "loan-1"}, http.HandlerFunc(cut), 2, client.Outcome("")),
+	Entry("connection lost, with a key", client.Call{Key: "loan-1"}, http.HandlerFunc(abortConnection), 2, client.Outcome("")),
 	Entry("unknown, idempotent", client.Call{Idempotent: true}, unknown, 2, client.Outcome("")),
 	Entry("failed, with a key", client.Call{Key: "loan-1"}, failed, 1, client.Failed),
-	Entry("wrong request", client.Call{Key: "loan-1"}, problem(http.StatusUnprocessableEntity, "key_reused", "not_run"), 1, client.NotRun),
+	Entry("invalid request", client.Call{Key: "loan-1"}, problem(http.StatusUnprocessableEntity, "key_reused", "not_run"), 1, client.NotRun),
 )
 
 func event(id string, offset int) string {
 	return fmt.Sprintf("id: %s/%d\ndata: %d\n\n", id, offset, offset)
 }
 
-const done = "data: [DONE]\n\n"
+const doneEvent = "data: [DONE]\n\n"
 
-var _ = DescribeTable("A stream goes on behind its last event",
+var _ = DescribeTable("A stream resumes after its last event",
 	func(first string) {
 		var last string
-		url, sent := script(answer(first), func(wr http.ResponseWriter, req *http.Request) {
+		url, sent := scriptedServer(answer(first), func(wr http.ResponseWriter, req *http.Request) {
 			last = req.Header.Get("Last-Event-ID")
-			_, _ = io.WriteString(wr, event("g", 2)+done)
+			_, _ = io.WriteString(wr, event("g", 2)+doneEvent)
 		})
 		cl := &client.Client{Entries: []string{url, url}}
 		st := cl.Generate(context.Background(), client.Generation{Path: "/v1/completions", Body: []byte(`{"stream":true}`)})
@@ -109,17 +109,17 @@
 		Expect(last).To(Equal("g/1"))
 		Expect(sent.Load()).To(BeEquivalentTo(2))
 	},
-	Entry("after a cut", event("g", 0)+event("g", 1)),
+	Entry("after a lost connection", event("g", 0)+event("g", 1)),
 	Entry("after a hand-over", event("g", 0)+event("g", 1)+"event: resume\ndata: {}\n\n"),
 	Entry("after a problem", event("g", 0)+event("g", 1)+"event: error\ndata: {\"status\":502,\"outcome\":\"unknown\"}\n\n"),
-	Entry("after a doubled token", event("g", 0)+event("g", 1)+event("g", 1)+done),
-	Entry("after a gap", event("g", 0)+event("g", 1)+event("g", 3)+done),
-	Entry("after a token of another generation", event("g", 0)+event("g", 1)+event("h", 2)+done),
+	Entry("after a duplicate token", event("g", 0)+event("g", 1)+event("g", 1)+doneEvent),
+	Entry("after a gap", event("g", 0)+event("g", 1)+event("g", 3)+doneEvent),
+	Entry("after a token of another generation", event("g", 0)+event("g", 1)+event("h", 2)+doneEvent),
 )
 
 var _ = Describe("A refused stream", func() {
-	It("waits as long as the server says", func() {
-		url, sent := script(problem(http.StatusTooManyRequests, "queue_full", "not_run"), answer(event("g", 0)+done))
+	It("is retried after the time that the server states", func() {
+		url, sent := scriptedServer(problem(http.StatusTooManyRequests, "queue_full", "not_run"), answer(event("g", 0)+doneEvent))
 		clock := clockwork.NewFakeClock()
 		cl := &client.Client{Entries: []string{url}, Clock: clock}
 		st := cl.Generate(context.Background(), client.Generation{Path: "/v1/completions", Body: []byte(`{}`)})
@@ -139,8 +139,8 @@
 		Eventually(result, "20s").Should(Receive(BeNil()))
 	})
 
-	It("ends at once if the request is wrong", func() {
-		url, sent := script(problem(http.StatusBadRequest, "bad_request", "not_run"))
+	It("is not retried if the request is invalid", func() {
+		url, sent := scriptedServer(problem(http.StatusBadRequest, "bad_request", "not_run"))
 		cl := &client.Client{Entries: []string{url}}
 		_, err := cl.Generate(context.Background(), client.Generation{Path: "/v1/completions"}).Next()
 		var er *client.Error
--- a/pkg/client/error.go
+++ b/pkg/client/error.go
@@ -12,29 +12,34 @@
 	"time"
 )
 
-// Kind says how a request ended without its answer.
+// Kind classifies the failure of a request.
 type Kind string
 
 // The kinds of error that this package reports.
 const (
-	// Refused means that the deployment answered with a problem.
+	// Refused means that the deployment answered with a problem document.
 	Refused Kind = "refused"
-	// Broken means that the connection failed or went silent.
+	// Broken means that the connection failed or timed out, or that the instance
+	// that served the stream is shutting down.
 	Broken Kind = "broken"
-	// Crossed means that an event of another generation or offset came.
+	// Crossed means that an event belongs to another generation or does not have
+	// the expected offset.
 	Crossed Kind = "crossed"
-	// Interrupted means that the caller's context ended.
+	// Interrupted means that the context of the caller ended.
 	Interrupted Kind = "interrupted"
 )
 
-// Outcome says what is known of the request.
+// Outcome says whether a request was executed.
 type Outcome string
 
-// The outcomes of a request that was not answered whole.
+// The outcomes of a request without a complete response.
 const (
-	NotRun  Outcome = "not_run"
+	// NotRun means that the request was not executed.
+	NotRun Outcome = "not_run"
+	// Unknown means that the request may have been executed.
 	Unknown Outcome = "unknown"
-	Failed  Outcome = "failed"
+	// Failed means that the request was executed and failed.
+	Failed Outcome = "failed"
 )
 
 // Error is the error type of this package.
@@ -44,19 +49,25 @@
 	Kind Kind
 	// Outcome covers all attempts together.
 	Outcome Outcome
-	// Problem is what the deployment answered last, if Kind is Refused.
+	// Problem is the last problem document from the deployment, if Kind is
+	// Refused.
 	Problem Problem
 	// Err is the cause, or nil.
 	Err error
 }
 
-// Problem is the body of a refusal.
+// Problem is the problem document with which the deployment refuses a request.
 type Problem struct {
-	Status     int     `json:"status"`
-	Reason     string  `json:"reason"`
-	Outcome    Outcome `json:"outcome"`
-	Detail     string  `json:"detail"`
-	RetryAfter int     `json:"retry_after"`
+	// Status is the HTTP status.
+	Status int `json:"status"`
+	// Reason is a fixed identifier of the cause, for example "queue_full".
+	Reason  string  `json:"reason"`
+	Outcome Outcome `json:"outcome"`
+	// Detail explains the cause. It is the whole body if the body is not JSON.
+	Detail string `json:"detail"`
+	// RetryAfter is the time in seconds to wait before a retry. Zero means that
+	// the server gave none.
+	RetryAfter int `json:"retry_after"`
 }
 
 // Error implements error.
@@ -72,12 +83,12 @@
 
 const (
 	problemType = "application/problem+json"
-	// maxAnswerBytes bounds an answer that is read whole.
+	// maxAnswerBytes is the size at which the body of a response is cut off.
 	maxAnswerBytes = 16 << 20
 )
 
-// refusedBy reads the problem of a refusal.
-func refusedBy(op string, resp *http.Response) *Error {
+// problemError returns the error of a response that refuses the request.
+func problemError(op string, resp *http.Response) *Error {
 	er := &Error{Op: op, Kind: Refused, Outcome: Unknown, Problem: Problem{Status: resp.StatusCode}}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
@@ -100,9 +111,10 @@
 	}
 }
 
-// brokenBy classifies a failure to get an answer. Only a connection that was
-// never made proves that nothing was sent.
-func brokenBy(op string, err error) *Error {
+// transportError returns the error of a request without a response. The outcome
+// is NotRun only if no connection was established, because only then it is
+// certain that nothing was sent.
+func transportError(op string, err error) *Error {
 	var oe *net.OpError
 	if errors.As(err, &oe) && oe.Op == "dial" {
 		return &Error{Op: op, Kind: Broken, Outcome: NotRun, Err: err}
@@ -114,9 +126,9 @@
 	return time.Duration(er.Problem.RetryAfter) * time.Second
 }
 
-// final tells whether no other attempt can get another answer: the request
-// itself is wrong.
-func (er *Error) final() bool {
+// permanent reports whether a retry is useless because the request itself is
+// invalid. The statuses 408, 409 and 429 and all from 500 on are temporary.
+func (er *Error) permanent() bool {
 	if er.Kind != Refused {
 		return false
 	}
--- a/pkg/client/stream.go
+++ b/pkg/client/stream.go
@@ -16,34 +16,35 @@
 type Generation struct {
 	// Path is "/v1/completions" or "/v1/chat/completions".
 	Path string
-	// Body is the JSON body; it must ask for "stream": true.
+	// Body is the JSON body. It must contain "stream": true.
 	Body []byte
-	// Timeout is sent as Request-Timeout if it is not zero.
+	// Timeout is sent as Request-Timeout in seconds if it is not zero.
 	Timeout time.Duration
 }
 
 // Event is one event of a generation.
 type Event struct {
-	// Offset numbers the tokens from zero.
+	// Offset is the index of the token, starting at zero.
 	Offset int64
-	// Data is the JSON of the event; it is valid until the next call of Next.
+	// Data is the JSON of the event. It is valid until the next call of Next.
 	Data []byte
 }
 
-// Stream reads one generation. It is for one goroutine.
+// Stream reads one generation. It is not safe for concurrent use.
 type Stream struct {
 	cl  *Client
 	ge  Generation
 	ctx context.Context
 
-	// id is the generation's id, known from the first event on.
-	id      string
-	offset  int64
-	whole   bool
+	// id is the ID of the generation. It is empty until the first event.
+	id        string
+	offset    int64
+	completed bool
+	// attempt counts the consecutive failures without progress.
 	attempt int
-	// Resumes counts the connections after the first.
+	// Resumes counts the attempts to resume the generation after its first token.
 	Resumes int
-	// outcome covers all attempts so far.
+	// outcome covers all attempts so far, as in Error.
 	outcome Outcome
 
 	body   io.ReadCloser
@@ -52,26 +53,27 @@
 	timer  interface{ Stop() bool }
 }
 
-// streamBufferBytes also bounds the line of one event.
+// streamBufferBytes is the buffer size and thus the longest line of an event.
 const streamBufferBytes = 64 << 10
 
-var errHandedOver = errors.New("the instance stops")
+var errHandedOver = errors.New("the entry instance is shutting down")
 
-// Generate starts a generation. The first Next sends the request.
+// Generate prepares a generation. The first call of Next sends the request.
 func (cl *Client) Generate(ctx context.Context, ge Generation) *Stream {
 	cl.prepare()
 	return &Stream{cl: cl, ge: ge, ctx: ctx, outcome: NotRun}
 }
 
-// Next returns the next token, or io.EOF when the answer is whole. Any other
-// error is an *Error and final.
+// Next returns the event of the next token, or io.EOF after the last one. It
+// reconnects by itself after temporary failures. Any error other than io.EOF is
+// an *Error, and the stream cannot be continued.
 func (st *Stream) Next() (Event, error) {
 	for {
-		if st.whole {
+		if st.completed {
 			return Event{}, io.EOF
 		}
-		ev, er := st.try()
-		if er == nil && !st.whole {
+		ev, er := st.readOrConnect()
+		if er == nil && !st.completed {
 			st.attempt = 0
 			return ev, nil
 		}
@@ -79,20 +81,22 @@
 			continue
 		}
 		st.disconnect()
-		if er := st.again(er); er != nil {
+		if er := st.waitForRetry(er); er != nil {
 			return Event{}, er
 		}
 	}
 }
 
-// Offset returns the number of tokens that came.
+// Offset returns the number of tokens that have been received.
 func (st *Stream) Offset() int64 { return st.offset }
 
-// Close ends the stream. The deployment ends a generation that is not whole.
+// Close closes the connection. The deployment ends a generation that is not
+// complete.
 func (st *Stream) Close() { st.disconnect() }
 
-// try gets the next event from the connection, which it opens if need be.
-func (st *Stream) try() (Event, *Error) {
+// readOrConnect reads the next event. It first connects if there is no
+// connection.
+func (st *Stream) readOrConnect() (Event, *Error) {
 	if st.body == nil {
 		if er := st.connect(); er != nil {
 			return Event{}, er
@@ -101,8 +105,10 @@
 	return st.read()
 }
 
-// again decides whether another attempt follows a failure, and waits for it.
-func (st *Stream) again(er *Error) *Error {
+// waitForRetry returns nil if the attempt that failed with er can be retried,
+// after waiting for the back-off. There is no back-off if the instance is shutting
+// down. Otherwise it returns the error for the caller of Next.
+func (st *Stream) waitForRetry(er *Error) *Error {
 	if er.Outcome != NotRun {
 		st.outcome = er.Outcome
 	}
@@ -111,27 +117,28 @@
 		return &Error{Op: "generate", Kind: Interrupted, Outcome: st.outcome, Err: st.ctx.Err()}
 	}
 	st.attempt++
-	if er.final() || st.attempt >= st.cl.MaxAttempts {
+	if er.permanent() || st.attempt >= st.cl.MaxAttempts {
 		return er
 	}
 	if errors.Is(er.Err, errHandedOver) {
 		return nil
 	}
-	if err := st.cl.pause(st.ctx, st.attempt, er.retryAfter()); err != nil {
+	if err := st.cl.waitBeforeRetry(st.ctx, st.attempt, er.retryAfter()); err != nil {
 		return &Error{Op: "generate", Kind: Interrupted, Outcome: st.outcome, Err: err}
 	}
 	return nil
 }
 
-// connect sends the request to the next entry instance. Behind the first
-// token it names the last event, so that the instance goes on behind it.
+// connect sends the request to the next entry instance. If tokens have been
+// received, it also sends the ID of the last event, so that the instance
+// continues after it.
 func (st *Stream) connect() *Error {
 	ctx, cancel := context.WithCancel(st.ctx)
 	st.cancel = cancel
 	st.timer = st.cl.Clock.AfterFunc(st.cl.StartTimeout, cancel)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, st.cl.entry()+st.ge.Path, bytes.NewReader(st.ge.Body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, st.cl.nextEntry()+st.ge.Path, bytes.NewReader(st.ge.Body))
 	if err != nil {
-		return brokenBy("generate", err)
+		return transportError("generate", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+st.cl.Token)
 	req.Header.Set("Content-Type", "application/json")
@@ -144,11 +151,11 @@
 	}
 	resp, err := st.cl.HTTP.Do(req) //nolint:bodyclose // disconnect closes it
 	if err != nil {
-		return brokenBy("generate", err)
+		return transportError("generate", err)
 	}
 	st.body = resp.Body
 	if resp.StatusCode != http.StatusOK {
-		return refusedBy("generate", resp)
+		return problemError("generate", resp)
 	}
 	st.rd = bufio.NewReaderSize(resp.Body, streamBufferBytes)
 	return nil
@@ -167,7 +174,8 @@
 	st.timer, st.cancel, st.body, st.rd = nil, nil, nil, nil
 }
 
-// read reads one event. Each line, also a comment, restarts the idle timer.
+// read reads one event. Each line restarts the idle timer, even a comment, which
+// is a keep-alive.
 func (st *Stream) read() (Event, *Error) {
 	var id, event string
 	for {
@@ -190,7 +198,8 @@
 	}
 }
 
-// accept checks that the event is the one that is due.
+// accept handles one event. It verifies that a token belongs to the generation
+// and has the next offset.
 func (st *Stream) accept(id, event string, data []byte) (Event, *Error) {
 	switch {
 	case event == "error":
@@ -200,21 +209,21 @@
 	case event == "resume":
 		return Event{}, &Error{Op: "generate", Kind: Broken, Outcome: Unknown, Err: errHandedOver}
 	case string(data) == "[DONE]":
-		st.whole = true
+		st.completed = true
 		st.disconnect()
 		return Event{}, nil
 	}
-	generation, number, _ := cutLast(id)
+	generation, number, _ := splitEventID(id)
 	offset, err := strconv.ParseInt(number, 10, 64)
 	if err != nil || offset != st.offset || (st.id != "" && generation != st.id) {
-		return Event{}, &Error{Op: "generate", Kind: Crossed, Outcome: Unknown, Err: errors.New("event " + id + " where offset " + strconv.FormatInt(st.offset, 10) + " was due")}
+		return Event{}, &Error{Op: "generate", Kind: Crossed, Outcome: Unknown, Err: errors.New("event " + id + " received where offset " + strconv.FormatInt(st.offset, 10) + " was expected")}
 	}
 	st.id = generation
 	st.offset++
 	return Event{Offset: offset, Data: data}, nil
 }
 
-func cutLast(id string) (generation, offset string, ok bool) {
+func splitEventID(id string) (generation, offset string, ok bool) {
 	cut := strings.LastIndexByte(id, '/')
 	if cut < 0 {
 		return "", "", false
