--- a/internal/configuration/distribution.go
+++ b/internal/configuration/distribution.go
@@ -83,9 +83,11 @@
 	Zone    string
 	Address string
 
-	mu           sync.Mutex
+	mu sync.Mutex
+	// fetching is true while fetchUntilCurrent runs. targetNotice is the notice
+	// that it handles, or if fetchPending is true the one that it handles next.
 	fetching     bool
-	newestNotice Notice
+	targetNotice Notice
 	fetchPending bool
 	ctx          context.Context //nolint:containedctx // limits the fetches that notices start
 }
@@ -165,13 +167,13 @@
 		return
 	}
 	if sp.fetching {
-		sp.fetchPending = sp.fetchPending || no.Version > sp.newestNotice.Version
+		sp.fetchPending = sp.fetchPending || no.Version > sp.targetNotice.Version
 		if sp.fetchPending {
-			sp.newestNotice = no
+			sp.targetNotice = no
 		}
 		return
 	}
-	sp.fetching, sp.newestNotice, sp.fetchPending = true, no, false
+	sp.fetching, sp.targetNotice, sp.fetchPending = true, no, false
 	go sp.fetchUntilCurrent(sp.ctx, no)
 }
 
@@ -187,7 +189,7 @@
 			return
 		}
 		sp.fetchPending = false
-		no = sp.newestNotice
+		no = sp.targetNotice
 		sp.mu.Unlock()
 	}
 }
--- a/internal/configuration/publish.go
+++ b/internal/configuration/publish.go
@@ -25,7 +25,8 @@
 
 // Publish writes a whole configuration if previous is the current object
 // version of the head. Zero means that no head exists yet. It returns the new
-// object version. An error of kind Moved means that the head has changed.
+// object version. An error of kind Moved means that the head has changed, and one
+// of kind Unsettled that it is unknown whether the write took effect.
 func Publish(ctx context.Context, store platform.Store, previous int64, cf *kind.Configuration) (int64, error) {
 	bu, err := Pack(cf)
 	if err != nil {
--- a/internal/endpoint/connection.go
+++ b/internal/endpoint/connection.go
@@ -107,15 +107,15 @@
 }
 
 // idleConn fails a read that makes no progress within timeout. The read may
-// take up to a quarter longer to fail, because the deadline is extended only
-// once per quarter of the timeout. This saves a timer operation per token.
+// take up to a quarter longer to fail, because the deadline is extended at
+// most once per quarter of the timeout. This saves a timer operation per token.
 type idleConn struct {
 	net.Conn
 	timeout       time.Duration
 	deadlineSetAt time.Time
 }
 
-// deadlineSteps is the number of deadline extensions per timeout.
+// deadlineSteps is the maximum number of deadline extensions per timeout.
 const deadlineSteps = 4
 
 // Read implements net.Conn.
