--- a/pkg/client/call.go
+++ b/pkg/client/call.go
@@ -13,7 +13,7 @@
 	Method string
 	// Service is the name of the service.
 	Service string
-	// Path is the path at the service, with a leading slash and the query.
+	// Path is the path at the service, with a leading slash. It may have a query.
 	Path        string
 	ContentType string
 	Body        []byte
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,6 +1,6 @@
 // Package client is the Go client of filbertstall. It streams generations and
-// resumes an interrupted stream at any entry instance. It also calls plain
-// services and retries a call only if this is safe.
+// resumes an interrupted stream at any of the entry instances. It also calls
+// plain services and retries a call only if this is safe.
 //
 // # Usage
 //
