--- a/internal/configuration/bundle.go
+++ b/internal/configuration/bundle.go
@@ -73,7 +73,8 @@
 // Unpack builds a bundle from a head and its shards, verifies the hash of each
 // shard and validates the configuration. The map may hold other shards too. An
 // error of kind Incomplete means that a shard is missing from the map, and one
-// of kind Damaged that a shard does not match its hash or cannot be decoded.
+// of kind Damaged that a shard does not match its hash or cannot be decoded. The
+// error for an inconsistent configuration is a *kind.Error.
 func Unpack(he Head, shards map[string][]byte) (*Bundle, error) {
 	bu := &Bundle{Head: he, shards: make(map[string][]byte, len(he.Shards))}
 	doc := kind.Document{Version: he.Version}
--- a/internal/configuration/distribution.go
+++ b/internal/configuration/distribution.go
@@ -28,7 +28,7 @@
 
 // fetchTimeouts are the timeouts of the attempts to fetch a version. The first
 // is short, so that an unresponsive connection is dropped before the second
-// attempt. The last ones leave time for a whole configuration over a slow link.
+// attempt. The last ones leave time for a complete configuration over a slow link.
 var fetchTimeouts = []time.Duration{
 	fetchRetryInterval, 2 * fetchRetryInterval, 4 * fetchRetryInterval, 8 * fetchRetryInterval, 8 * fetchRetryInterval, 8 * fetchRetryInterval,
 }
@@ -155,8 +155,10 @@
 }
 
 // Seen handles the announcement of a version by another instance. If the
-// version is higher than the one in force, it starts to fetch it in the
-// background.
+// version is higher than the one in force, it starts a fetch in the background.
+// If a fetch is already running, a notice of a higher version than the fetched
+// one makes another fetch follow, and each later notice replaces the pending
+// one. Before Run, Seen does nothing.
 func (sp *Spreader) Seen(no Notice) {
 	if no.Version <= sp.State.Version() {
 		return
@@ -177,8 +179,8 @@
 	go sp.fetchUntilCurrent(sp.ctx, no)
 }
 
-// fetchUntilCurrent fetches the announced version, and then any higher version
-// that was announced in the meantime.
+// fetchUntilCurrent fetches the announced version. As long as a notice is
+// pending after that, it continues with the pending notice.
 func (sp *Spreader) fetchUntilCurrent(ctx context.Context, no Notice) {
 	for {
 		sp.fetchWithRetries(ctx, no)
@@ -195,8 +197,10 @@
 }
 
 // fetchWithRetries starts a fetch, and a further one after each
-// fetchRetryInterval in which no new version came into force. If all of them
-// fail, the next membership digest of any instance starts over.
+// fetchRetryInterval, until the announced version or a higher one is in force.
+// If another version comes into force first, the next attempt starts at once. If
+// all attempts fail, the next membership digest of any instance starts a new
+// fetch.
 func (sp *Spreader) fetchWithRetries(ctx context.Context, no Notice) {
 	for _, timeout := range fetchTimeouts {
 		changed, _ := sp.State.Changed()
--- a/internal/configuration/error.go
+++ b/internal/configuration/error.go
@@ -11,7 +11,9 @@
 // The kinds of error that this package reports.
 const (
 	// Moved means that the head has changed since it was read, or that the time
-	// for publishing ended before the head was sent. The head was not written.
+	// for publishing ended before the head was sent. The head was not written,
+	// unless an earlier attempt of the same call with an unknown outcome took
+	// effect.
 	Moved ErrorKind = "moved"
 	// Damaged means that a head or shard cannot be decoded, or that a shard
 	// does not match the hash it is named by.
--- a/internal/configuration/head.go
+++ b/internal/configuration/head.go
@@ -5,8 +5,9 @@
 // Key is the key of the head in the platform.
 const Key = "configuration/head"
 
-// maxFinishedMoves is the number of finished plans that a head records, so that
-// an instance that takes over a plan sees which of its steps are applied.
+// maxFinishedMoves is the maximum number of finished plans that a head records.
+// An instance that continues the plan of another instance learns from the head
+// how many of the plan's steps have been applied.
 const maxFinishedMoves = 64
 
 // Move records the progress of a confirmed plan.
@@ -25,8 +26,8 @@
 	Version int64 `json:"version"`
 	// Shards are the hex SHA-256 hashes of the contents of the shards.
 	Shards []string `json:"shards"`
-	// Moves holds the progress of all running plans and of the plans that
-	// finished last.
+	// Moves holds the progress of all running plans and of the most recently
+	// finished ones.
 	Moves []Move `json:"moves,omitempty"`
 }
 
--- a/internal/configuration/publish.go
+++ b/internal/configuration/publish.go
@@ -11,7 +11,8 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// maxWriteAttempts limits how often a write is sent when its outcome is unknown.
+// maxWriteAttempts limits how often a write is sent. It is sent again if its
+// outcome is unknown. A shard is also sent again after a conflict.
 const maxWriteAttempts = 4
 
 // publishTimeout limits the time from the write of the first shard to that of
@@ -23,10 +24,11 @@
 // the shard follows it.
 const ShardPrefix = "configuration/shards/"
 
-// Publish writes a whole configuration if previous is the current object
+// Publish writes a complete configuration if previous is the current object
 // version of the head. Zero means that no head exists yet. It returns the new
-// object version. An error of kind Moved means that the head has changed, and one
-// of kind Unsettled that it is unknown whether the write took effect.
+// object version. An error of kind Moved means that the head has changed or that
+// the time for publishing ended, and one of kind Unsettled that it is unknown
+// whether the write took effect.
 func Publish(ctx context.Context, store platform.Store, previous int64, cf *kind.Configuration) (int64, error) {
 	bu, err := Pack(cf)
 	if err != nil {
@@ -78,9 +80,10 @@
 	return err
 }
 
-// publishHead writes the head. If the outcome of a write is unknown, it reads
-// the head back. The content names the plan and the step, so equal bytes prove
-// that its own write took effect.
+// publishHead writes the head. Repeated attempts take effect at most once,
+// because each is conditional on the object version previous. After a conflict or
+// an unknown outcome it reads the head back. The content names the plan and the
+// step, so equal bytes prove that its own write took effect.
 func publishHead(ctx context.Context, store platform.Store, previous int64, data []byte) (int64, error) {
 	var err error
 	for range maxWriteAttempts {
--- a/internal/configuration/reason.go
+++ b/internal/configuration/reason.go
@@ -15,9 +15,11 @@
 	// Diverged counts refusals of a configuration that has the version in force
 	// but different content.
 	Diverged Reason = "refused_diverged"
-	// Repaired counts overwrites of an outdated or missing head in the platform.
+	// Repaired counts writes of the version in force to a platform that had an
+	// older head or none.
 	Repaired Reason = "repaired_platform"
-	// NoticeUnanswered counts notices that were not acknowledged.
+	// NoticeUnanswered counts attempts to send a notice that were not
+	// acknowledged.
 	NoticeUnanswered Reason = "retry_notice"
 	// FetchFailed counts failed attempts to fetch a version from another
 	// instance.
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -37,8 +37,9 @@
 	// PlatformAt is when the platform last answered this instance. It is zero
 	// on instances that do not watch the platform.
 	PlatformAt time.Time `json:"platform_at,omitzero"`
-	// Diverged means that this instance has received a configuration that has
-	// the version in force but different content.
+	// Diverged means that this instance has received a configuration that had
+	// the version then in force but different content. It stays true until the
+	// instance restarts.
 	Diverged bool `json:"diverged,omitempty"`
 }
 
--- a/internal/configuration/watcher.go
+++ b/internal/configuration/watcher.go
@@ -119,6 +119,8 @@
 	if err != nil {
 		return err
 	}
+	// A lower object version means that the platform has been restored from an
+	// old backup. The next watch then starts with a new listing.
 	if wa.headObjectVersion.Swap(ob.Version) > ob.Version {
 		wa.revision.Store(0)
 	}
--- a/internal/document/fault.go
+++ b/internal/document/fault.go
@@ -10,8 +10,9 @@
 type Fault struct {
 	File string
 	Line int
-	// Field is the path of the field, for example "peers[1].name". It is "syntax"
-	// or "json" if no field can be named.
+	// Field is the path of the field, for example "peers[1].name". It is
+	// Decoder.Root for the whole document, and "syntax" or "json" if no field can
+	// be named.
 	Field string
 	// Problem describes the error and the allowed values.
 	Problem string
--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -16,7 +16,9 @@
 const (
 	dialTimeout  = 500 * time.Millisecond
 	orderTimeout = 5 * time.Second
-	loadTimeout  = time.Second
+	// defaultTimeout is the timeout of requests other than orders, calls and
+	// generations.
+	defaultTimeout = time.Second
 )
 
 // Client sends requests to endpoints. Set the fields before the first call. It
@@ -102,7 +104,7 @@
 	req.Header.SetMethod(http.MethodDelete)
 	req.SetRequestURI(url + "/v1/generations/" + id)
 	req.Header.Set(UnreadHeader, "true")
-	if err := cl.pooled.DoTimeout(req, resp, loadTimeout); err != nil {
+	if err := cl.pooled.DoTimeout(req, resp, defaultTimeout); err != nil {
 		return classify("cancel", url, err)
 	}
 	return checkStatus("cancel", url, resp.StatusCode())
@@ -128,6 +130,9 @@
 	return cl.exchange("order", url, "/orders", http.MethodPost, or, or.Fencing, nil)
 }
 
+// exchange sends a request. If body is not nil, it is sent as JSON together with
+// the fencing token, and the timeout is orderTimeout. If into is not nil, the JSON
+// response is decoded into it.
 func (cl *Client) exchange(op, url, path, method string, body any, fencing int64, into any) error {
 	cl.prepare()
 	req := fasthttp.AcquireRequest()
@@ -136,7 +141,7 @@
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(method)
 	req.SetRequestURI(url + path)
-	timeout := loadTimeout
+	timeout := defaultTimeout
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
--- a/internal/endpoint/connection.go
+++ b/internal/endpoint/connection.go
@@ -12,8 +12,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// streamReceiveBufferBytes limits the kernel memory for a stream whose caller
-// reads slowly.
+// streamReceiveBufferBytes is the size of the socket's receive buffer. It limits
+// the kernel memory for a stream whose caller reads slowly.
 const streamReceiveBufferBytes = 64 << 10
 
 var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, streamBufferBytes) }}
--- a/internal/endpoint/doc.go
+++ b/internal/endpoint/doc.go
@@ -18,5 +18,6 @@
 //	}
 //
 // The kind of an error says whether the endpoint may have started the work.
-// Refused and Unreachable mean that it has not. Lost means that this is unknown.
+// Refused and Unreachable mean that it has not. Lost and Silent mean that this is
+// unknown.
 package endpoint
--- a/internal/endpoint/error.go
+++ b/internal/endpoint/error.go
@@ -22,7 +22,8 @@
 	Silent ErrorKind = "silent"
 	// Gone means that the endpoint does not know the generation.
 	Gone ErrorKind = "gone"
-	// Failed means that the endpoint ran the request and failed.
+	// Failed means that the endpoint ran the request and failed, or that its
+	// response is invalid, for example a line of more than streamBufferBytes.
 	Failed ErrorKind = "failed"
 	// Crossed means that an event belongs to another generation or does not have
 	// the expected offset.
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -40,7 +40,7 @@
 func (st *Stream) Offset() int64 { return st.next }
 
 // Buffered reports whether Next can return a complete event without blocking. It
-// skips the blank line that ends the previous event.
+// ignores the blank line that ends the previous event.
 func (st *Stream) Buffered() bool {
 	if st.done {
 		return false
@@ -62,8 +62,9 @@
 
 // Next reads the next event. The last event has Done set, and after it Next
 // returns io.EOF. An error of kind Lost or Silent means that the stream ended
-// before the last event, and one of kind Crossed that an event belongs to
-// another generation or has the wrong offset.
+// before the last event, one of kind Crossed that an event belongs to another
+// generation or has the wrong offset, and one of kind Failed that a line is longer
+// than streamBufferBytes.
 func (st *Stream) Next(ev *Event) error {
 	if st.done {
 		return io.EOF
@@ -134,9 +135,10 @@
 	return &Error{Op: "stream", URL: st.url, Kind: ki, Err: err}
 }
 
-// Close closes the connection. It is not reused, because an idle connection may
-// die unnoticed. A generation that has not ended continues at the engine until
-// the engine's grace period for resuming is over. Cancel ends it at once.
+// Close closes the connection. Connections of streams are not reused, because an
+// idle connection may die unnoticed. A generation that has not ended continues at
+// the engine until the engine's grace period for resuming is over. Cancel ends it
+// at once.
 func (st *Stream) Close() {
 	if st.raw == nil {
 		return
--- a/internal/endpoint/wire.go
+++ b/internal/endpoint/wire.go
@@ -35,7 +35,8 @@
 	// Seed is the sampling seed. It makes the generation reproducible if the
 	// engine supports this.
 	Seed uint64
-	// Priority is ignored by endpoints without the capability.
+	// Priority is ignored by endpoints without the capability
+	// kind.Capabilities.Priorities.
 	Priority int
 	// ForcedPrefix is the number of tokens that have already been delivered. The
 	// generation continues after them.
@@ -106,8 +107,9 @@
 	ContentType string
 	Headers     []Header
 	// Key is the idempotency key. If it is empty, none is sent.
-	Key     string
-	Body    []byte
+	Key  string
+	Body []byte
+	// Timeout limits the wait for the complete response. It must be positive.
 	Timeout time.Duration
 	// NewConnection sends the request over a new connection. An idle connection
 	// of the pool may be dead or hold an unsolicited response.
--- a/internal/healthcheck/checker.go
+++ b/internal/healthcheck/checker.go
@@ -31,7 +31,8 @@
 // Checker probes engines. Set the fields before Run.
 type Checker struct {
 	Engines Engines
-	// Runs returns the engines at which this instance has runs.
+	// Runs returns the engines that serve runs of this instance. A run is one
+	// stream at an engine.
 	Runs func() []roster.Endpoint
 	// Stale reports whether the view of the store is stale.
 	Stale func() bool
--- a/pkg/client/call.go
+++ b/pkg/client/call.go
@@ -28,7 +28,8 @@
 type Answer struct {
 	Status      int
 	ContentType string
-	Body        []byte
+	// Body is truncated if it is longer than 16 MiB.
+	Body []byte
 	// Attempts is the number of times that the call was sent.
 	Attempts int
 }
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -94,7 +94,7 @@
 	return cl.Entries[int(cl.next.Add(1)-1)%len(cl.Entries)]
 }
 
-// waitBeforeRetry waits for retryAfter, or if it is zero for an exponential
+// waitBeforeRetry waits for retryAfter, or, if that is zero, for an exponential
 // back-off. Half of the back-off is random jitter, so that callers do not retry
 // at the same time. The error is that of ctx.
 func (cl *Client) waitBeforeRetry(ctx context.Context, attempt int, retryAfter time.Duration) error {
--- a/pkg/client/error.go
+++ b/pkg/client/error.go
@@ -63,7 +63,7 @@
 	// Reason is a fixed identifier of the cause, for example "queue_full".
 	Reason  string  `json:"reason"`
 	Outcome Outcome `json:"outcome"`
-	// Detail explains the cause. It is the whole body if the body is not JSON.
+	// Detail explains the cause. It is the complete body if the body is not JSON.
 	Detail string `json:"detail"`
 	// RetryAfter is the time in seconds to wait before a retry. Zero means that
 	// the server gave none.
@@ -83,7 +83,7 @@
 
 const (
 	problemType = "application/problem+json"
-	// maxAnswerBytes is the size at which the body of a response is cut off.
+	// maxAnswerBytes is the size to which the body of a response is truncated.
 	maxAnswerBytes = 16 << 20
 )
 
@@ -112,7 +112,7 @@
 }
 
 // transportError returns the error of a request without a response. The outcome
-// is NotRun only if no connection was established, because only then it is
+// is NotRun only if no connection was established, because only then is it
 // certain that nothing was sent.
 func transportError(op string, err error) *Error {
 	var oe *net.OpError
--- a/pkg/client/stream.go
+++ b/pkg/client/stream.go
@@ -105,9 +105,10 @@
 	return st.read()
 }
 
-// waitForRetry returns nil if the attempt that failed with er can be retried,
-// after waiting for the back-off. There is no back-off if the instance is shutting
-// down. Otherwise it returns the error for the caller of Next.
+// waitForRetry decides whether to retry after an attempt failed with er. If so, it
+// waits for the back-off and returns nil. If the instance is shutting down, it
+// does not wait. If the attempt cannot be retried, it returns the error for the
+// caller of Next.
 func (st *Stream) waitForRetry(er *Error) *Error {
 	if er.Outcome != NotRun {
 		st.outcome = er.Outcome
--- a/pkg/kind/configuration.go
+++ b/pkg/kind/configuration.go
@@ -28,10 +28,11 @@
 	byModel    map[string]Service
 }
 
-// NewConfiguration builds a configuration from a document. It checks names,
-// tokens and the models of services for duplicates, and that each referenced
-// object exists. It does not validate the other fields of the objects. An error
-// is an *Error of kind Duplicate or Dangling.
+// NewConfiguration builds a configuration from a document. It checks that names
+// and tokens are unique and that each referenced object exists. It also checks,
+// in name order, that the half of each service of type "model" differs from that
+// of the preceding service of the same model. It does not validate the other
+// fields of the objects. An error is an *Error of kind Duplicate or Dangling.
 func NewConfiguration(doc Document) (*Configuration, error) {
 	cf := &Configuration{version: doc.Version}
 	var err error
@@ -261,31 +262,31 @@
 }
 
 // WithHalf returns a copy in which the half is added, or replaces the one of the
-// same name. The error is that of the reference checks.
+// same name. The errors are those of NewConfiguration.
 func (cf *Configuration) WithHalf(ha Half) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.halves = cf.halves.with(ha) })
 }
 
 // WithZone returns a copy in which the zone is added, or replaces the one of the
-// same name. The error is that of the reference checks.
+// same name. The errors are those of NewConfiguration.
 func (cf *Configuration) WithZone(zo Zone) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.zones = cf.zones.with(zo) })
 }
 
 // WithTeam returns a copy in which the team is added, or replaces the one of the
-// same name. The error is that of the reference checks.
+// same name. The errors are those of NewConfiguration.
 func (cf *Configuration) WithTeam(te Team) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.teams = cf.teams.with(te) })
 }
 
 // WithService returns a copy in which the service is added, or replaces the one
-// of the same name. The error is that of the reference checks.
+// of the same name. The errors are those of NewConfiguration.
 func (cf *Configuration) WithService(se Service) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.services = cf.services.with(se) })
 }
 
 // WithEndpoint returns a copy in which the endpoint is added, or replaces the one
-// of the same name. The error is that of the reference checks.
+// of the same name. The errors are those of NewConfiguration.
 func (cf *Configuration) WithEndpoint(en Endpoint) (*Configuration, error) {
 	return cf.derive(func(next *Configuration) { next.endpoints = cf.endpoints.with(en) })
 }
--- a/pkg/kind/endpoint.go
+++ b/pkg/kind/endpoint.go
@@ -27,7 +27,7 @@
 	Priorities bool `json:"priorities,omitempty"`
 }
 
-// Capacity is the capacity of an endpoint.
+// Capacity holds the limits of the work that an endpoint can do at the same time.
 type Capacity struct {
 	// MemoryTokens is the size of the KV-cache memory in tokens. It is zero for
 	// plain services.
--- a/pkg/kind/error.go
+++ b/pkg/kind/error.go
@@ -25,9 +25,10 @@
 
 // Error is the error type of this package.
 type Error struct {
-	// Op names the kind that was checked, for example "team".
+	// Op is the type of the object that was checked, for example "team".
 	Op string
-	// Name is the name of the object. It is empty if the object has none.
+	// Name is the name of the object. It is empty if the object has none, and for
+	// kind Malformed.
 	Name string
 	// Field is the JSON name of the invalid field. It is "json" for kind
 	// Malformed.
--- a/pkg/kind/kind_test.go
+++ b/pkg/kind/kind_test.go
@@ -40,7 +40,7 @@
 })
 
 var _ = Describe("decoding", func() {
-	DescribeTable("returns an error of the right kind for invalid JSON",
+	DescribeTable("returns an error of the expected kind for an invalid object",
 		func(into any, text string, ki kind.ErrorKind) {
 			var er *kind.Error
 			err := json.Unmarshal([]byte(text), into)
@@ -49,7 +49,7 @@
 			Expect(er.Kind).To(Equal(ki))
 		},
 		Entry("team without a name", new(kind.Team), `{}`, kind.Missing),
-		Entry("team with a token in clear", new(kind.Team), `{"name":"a","token_hashes":["secret"]}`, kind.Invalid),
+		Entry("team with a token in clear text", new(kind.Team), `{"name":"a","token_hashes":["secret"]}`, kind.Invalid),
 		Entry("endpoint without a URL", new(kind.Endpoint), `{"name":"e"}`, kind.Invalid),
 		Entry("endpoint with more cold sequences than sequences", new(kind.Endpoint), `{"name":"e","url":"http://127.0.0.1:1","capacity":{"sequences":1,"cold_sequences":2}}`, kind.Invalid),
 		Entry("configuration with a dangling zone", new(kind.Configuration), `{"services":[{"name":"s","type":"plain"}],"endpoints":[{"name":"e","service":"s","zone":"z","url":"http://127.0.0.1:1"}]}`, kind.Dangling),
