--- a/internal/platform/backoff.go
+++ b/internal/platform/backoff.go
@@ -8,16 +8,18 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Backoff draws pauses between tries: uniform from zero to a bound that
-// doubles with each try, so that callers that failed together spread out.
+// Backoff computes exponential back-off with full jitter. Each delay is uniform
+// between zero and a bound that doubles with each attempt, so that callers that
+// failed at the same time do not retry at the same time.
 type Backoff struct {
-	// Base is the bound of the first pause, Cap that of the longest.
+	// Base is the upper bound of the first delay. The bound doubles with each
+	// attempt up to Cap.
 	Base, Cap time.Duration
-	// Random returns a number in [0, n); nil takes the global source.
+	// Random returns a number in [0, n). Nil selects the global source.
 	Random func(n int64) int64
 }
 
-// Pause returns the pause after a failed try; the first try is 1.
+// Pause returns the delay after a failed attempt. Attempts count from 1.
 func (ba Backoff) Pause(try int) time.Duration {
 	bound := ba.Base
 	for range try - 1 {
@@ -30,7 +32,9 @@
 	return time.Duration(random(int64(bound) + 1))
 }
 
-// sleep waits for the pause or until ctx ends, and tells whether it waited.
+// sleep waits for the delay after the given attempt and reports whether it
+// waited in full. It returns false at once if the delay would end after the
+// deadline of ctx, and as soon as ctx is canceled.
 func (ba Backoff) sleep(ctx context.Context, clock clockwork.Clock, try int) bool {
 	pause := ba.Pause(try)
 	if until, ok := ctx.Deadline(); ok && clock.Until(until) < pause {
--- a/internal/platform/breaker.go
+++ b/internal/platform/breaker.go
@@ -7,49 +7,50 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// breaker stops calls after consecutive failures and lets single probes
-// through until one succeeds.
+// breaker is a circuit breaker. It opens after a number of consecutive failures
+// and then admits one probe per interval until a probe succeeds.
 type breaker struct {
 	clock clockwork.Clock
-	// failures opens the breaker; pause is the time between probes.
-	failures int
-	pause    time.Duration
+	// threshold is the number of consecutive failures that opens the breaker.
+	threshold     int
+	probeInterval time.Duration
 
-	mu      sync.Mutex
-	failed  int
-	probeAt time.Time
+	mu                  sync.Mutex
+	consecutiveFailures int
+	nextProbe           time.Time
 }
 
-// allow tells whether a call may be made now. While open, it admits one call
-// in each pause.
+// allow reports whether a call may be made now. While the breaker is open, it
+// admits one call per probe interval.
 func (br *breaker) allow() bool {
 	br.mu.Lock()
 	defer br.mu.Unlock()
-	if br.failed < br.failures {
+	if br.consecutiveFailures < br.threshold {
 		return true
 	}
 	now := br.clock.Now()
-	if now.Before(br.probeAt) {
+	if now.Before(br.nextProbe) {
 		return false
 	}
-	br.probeAt = now.Add(br.pause)
+	br.nextProbe = now.Add(br.probeInterval)
 	return true
 }
 
-// note takes the result of a call and tells whether it opened the breaker.
-func (br *breaker) note(answered bool) bool {
+// record counts the result of a call and reports whether this result opened the
+// breaker.
+func (br *breaker) record(answered bool) bool {
 	br.mu.Lock()
 	defer br.mu.Unlock()
 	if answered {
-		br.failed = 0
+		br.consecutiveFailures = 0
 		return false
 	}
-	br.failed++
-	if br.failed < br.failures {
+	br.consecutiveFailures++
+	if br.consecutiveFailures < br.threshold {
 		return false
 	}
-	if br.failed == br.failures {
-		br.probeAt = br.clock.Now().Add(br.pause)
+	if br.consecutiveFailures == br.threshold {
+		br.nextProbe = br.clock.Now().Add(br.probeInterval)
 		return true
 	}
 	return false
--- a/internal/platform/budget.go
+++ b/internal/platform/budget.go
@@ -9,54 +9,57 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Class is the priority of a call of the platform.
+// Class is the priority of a call to the platform.
 type Class int
 
-// The classes, most important first.
+// The classes, from the highest to the lowest priority.
 const (
 	// ClassConfiguration is for configuration, plans and leases.
 	ClassConfiguration Class = iota
-	// ClassRecord is for the record of calls.
+	// ClassRecord is for the stored records of calls.
 	ClassRecord
-	// ClassStatus is for status reports and lists.
+	// ClassStatus is for status reports and the list of instances.
 	ClassStatus
-	classes
+	classCount
 )
 
-var classNames = [classes]string{"configuration", "record", "status"}
+var classNames = [classCount]string{"configuration", "record", "status"}
 
-// String returns the name of the class in metrics.
+// String returns the class as the value of the metric label class.
 func (cl Class) String() string { return classNames[cl] }
 
-// reserve is the share of a budget's burst that a class leaves to those above.
-var reserve = [classes]float64{0, 0.25, 0.5}
+// reservedShare is the share of the burst that each class leaves to the classes
+// of higher priority.
+var reservedShare = [classCount]float64{0, 0.25, 0.5}
 
-var errBudget = errors.New("no call left in the budget before the deadline")
+var errBudgetExhausted = errors.New("no call left in the budget before the deadline")
 
-// budget is a token bucket that keeps a reserve for the upper classes.
+// budget is a token bucket that reserves a part of its burst for the classes of
+// higher priority. It is safe for concurrent use.
 type budget struct {
 	clock clockwork.Clock
 	rate  float64
 	burst float64
 
-	mu     sync.Mutex
-	tokens float64
-	at     time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
 func newBudget(clock clockwork.Clock, perSecond, burst int) *budget {
-	return &budget{clock: clock, rate: float64(perSecond), burst: float64(burst), tokens: float64(burst), at: clock.Now()}
+	return &budget{clock: clock, rate: float64(perSecond), burst: float64(burst), tokens: float64(burst), refilledAt: clock.Now()}
 }
 
-// take waits for a token until ctx ends.
+// take waits for a token until ctx ends. It returns errBudgetExhausted without
+// waiting if no token is available to the class before the deadline of ctx.
 func (bu *budget) take(ctx context.Context, cl Class) error {
 	for {
-		wait := bu.try(cl)
+		wait := bu.tryTake(cl)
 		if wait == 0 {
 			return nil
 		}
 		if until, ok := ctx.Deadline(); ok && bu.clock.Until(until) < wait {
-			return errBudget
+			return errBudgetExhausted
 		}
 		select {
 		case <-bu.clock.After(wait):
@@ -66,15 +69,16 @@
 	}
 }
 
-// try takes a token, or returns how long until the class may have one.
-func (bu *budget) try(cl Class) time.Duration {
+// tryTake takes a token and returns zero, or returns the time until a token is
+// available to the class.
+func (bu *budget) tryTake(cl Class) time.Duration {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	now := bu.clock.Now()
-	elapsed := max(0, now.Sub(bu.at).Seconds())
+	elapsed := max(0, now.Sub(bu.refilledAt).Seconds())
 	bu.tokens = min(bu.burst, bu.tokens+elapsed*bu.rate)
-	bu.at = now
-	need := 1 + reserve[cl]*(bu.burst-1)
+	bu.refilledAt = now
+	need := 1 + reservedShare[cl]*(bu.burst-1)
 	if bu.tokens >= need {
 		bu.tokens--
 		return 0
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,10 +1,10 @@
-// Package platform is the client of the platform's object API, the only place
-// where anything lasts.
+// Package platform is the client of the platform's object API, which is the only
+// persistent storage that filbertstall uses.
 //
 // Objects have a key, a version and a value of at most MaxValueBytes. Update
-// and Delete are conditional on the version. Watch waits for changes below a
-// prefix. Everything in filbertstall that reads or writes lasting state goes
-// through the narrow Store interface, so that tests can use platformfake.
+// and Delete are conditional on the version. Watch waits for changes to objects
+// whose keys begin with a prefix. All code that reads or writes persistent state
+// uses the narrow Store interface, so that tests can use platformfake.
 //
 // # Usage
 //
@@ -12,16 +12,16 @@
 //	ob, err := st.Get(ctx, "configuration/head")
 //	version, err := st.Update(ctx, ob.Key, ob.Version, value)
 //	if platform.IsKind(err, platform.Conflict) {
-//		// somebody else changed it: read again
+//		// another writer changed the object: read it again
 //	}
 //
-// A Guard stands between a process and the Store: it keeps to a budget of calls
-// with priorities, repeats what is safe to repeat, stops calling a platform that
-// does not answer, and reads back writes whose answers were lost:
+// A Guard wraps a Store for a process. It limits the rate of calls by priority,
+// retries calls that are safe to repeat, opens a circuit breaker when the platform
+// does not respond, and reads back writes whose responses were lost:
 //
 //	gu := &platform.Guard{Store: st, Clock: clock, Scope: scope}
 //	records := gu.For(platform.ClassRecord) // a Store
 //
-// An error of kind Unknown means that a write may or may not have taken
-// effect; the caller reads back before it draws a conclusion.
+// An error of kind Unknown means that a write may or may not have taken effect.
+// The caller must read the object to find out.
 package platform
--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -14,35 +14,41 @@
 	"filbertstall.example/filbertstall/internal/metric"
 )
 
-// Defaults of a Guard whose fields are zero. A fleet of 7 instances stays
-// below 420 writes and 1,750 reads a second.
+// Defaults of the fields of a Guard that are zero. With these rates, a fleet of 7
+// instances stays below 420 writes and 1,750 reads per second.
 const (
-	defaultWritesPerSecond = 60
-	defaultReadsPerSecond  = 250
-	defaultTries           = 4
-	defaultFailures        = 5
-	defaultProbePause      = 500 * time.Millisecond
-	defaultBackoffBase     = 20 * time.Millisecond
-	defaultBackoffCap      = time.Second
+	defaultWritesPerSecond  = 60
+	defaultReadsPerSecond   = 250
+	defaultMaxAttempts      = 4
+	defaultFailureThreshold = 5
+	defaultProbeInterval    = 500 * time.Millisecond
+	defaultBackoffBase      = 20 * time.Millisecond
+	defaultBackoffCap       = time.Second
 )
 
-// Reason is why a Guard repeated or refused a call.
+// Reason is the label of an event that a Guard counts, such as a retried or
+// refused call.
 type Reason string
 
-// The reasons that a Guard counts.
+// The reasons that a Guard counts in the metric platform_events.
 const (
-	// RetryUnavailable counts tries repeated because the platform took nothing.
+	// RetryUnavailable counts retries of calls that failed as Unavailable and
+	// had no effect.
 	RetryUnavailable Reason = "retry_unavailable"
-	// RetryLostWrite counts writes repeated because reading back showed that
-	// they had not taken effect.
+	// RetryLostWrite counts retries of writes after a lost response. Reading
+	// back had not shown that the write took effect.
 	RetryLostWrite Reason = "retry_lost_write"
-	// FoundWritten counts lost answers of writes that had taken effect.
+	// FoundWritten counts writes whose response was lost and that reading back
+	// showed to have taken effect.
 	FoundWritten Reason = "found_written"
-	// Undecided counts lost answers that reading back did not explain.
+	// Undecided counts writes whose response was lost and whose outcome reading
+	// back did not show, because the object has changed since.
 	Undecided Reason = "undecided"
-	// OverBudget counts calls that got no token before their deadline.
+	// OverBudget counts calls that got no token of the rate budget before their
+	// deadline.
 	OverBudget Reason = "over_budget"
-	// BreakerOpened counts changes of the breaker from closed to open.
+	// BreakerOpened counts transitions of the circuit breaker from closed to
+	// open.
 	BreakerOpened Reason = "breaker_opened"
 	// BreakerRefused counts calls refused while the breaker was open.
 	BreakerRefused Reason = "breaker_refused"
@@ -52,35 +58,36 @@
 	RetryUnavailable, RetryLostWrite, FoundWritten, Undecided, OverBudget, BreakerOpened, BreakerRefused,
 }
 
-var errBreaker = errors.New("the breaker is open")
+var errBreakerOpen = errors.New("the breaker is open")
 
-// Guard protects the platform and its callers from each other: a budget of
-// calls with priorities, backoff, a breaker, and reading back writes whose
-// answers were lost. One Guard serves a process. Set the fields before the
-// first call; zero numbers mean the defaults.
+// Guard limits the load on the platform and handles its failures for the callers.
+// It applies a rate budget with priorities, back-off, a circuit breaker, and the
+// read-back of writes whose responses were lost. One Guard serves a process. Set
+// the fields before the first call. A numeric field of zero selects its default.
 //
-// Reading back compares bytes, so a value that is written through a Guard
-// holds something unique to the write.
+// Read-back compares values byte by byte. A value that is written through a Guard
+// must therefore contain something unique to the write.
 type Guard struct {
 	Store Store
 	Clock clockwork.Clock
 	Scope tally.Scope
-	// WritesPerSecond and ReadsPerSecond bound the calls; a watch is one read.
+	// WritesPerSecond and ReadsPerSecond limit the rates of calls and their
+	// bursts. A watch counts as one read.
 	WritesPerSecond, ReadsPerSecond int
-	// Tries bounds how often one call is made.
-	Tries int
-	// Failures is how many in a row open the breaker, ProbePause the time
-	// between probes while it is open.
-	Failures   int
-	ProbePause time.Duration
-	Backoff    Backoff
+	// MaxAttempts is the maximum number of attempts per call.
+	MaxAttempts int
+	// FailureThreshold is the number of consecutive failures that opens the
+	// circuit breaker. ProbeInterval is the time between probes while it is open.
+	FailureThreshold int
+	ProbeInterval    time.Duration
+	Backoff          Backoff
 
 	once    sync.Once
 	writes  *budget
 	reads   *budget
 	breaker *breaker
 	counts  map[Reason]tally.Counter
-	calls   [classes]tally.Counter
+	calls   [classCount]tally.Counter
 }
 
 func orDefault[N int | time.Duration](value, fallback N) N {
@@ -96,134 +103,137 @@
 		reads := orDefault(gu.ReadsPerSecond, defaultReadsPerSecond)
 		gu.writes = newBudget(gu.Clock, writes, writes)
 		gu.reads = newBudget(gu.Clock, reads, reads)
-		gu.Tries = orDefault(gu.Tries, defaultTries)
+		gu.MaxAttempts = orDefault(gu.MaxAttempts, defaultMaxAttempts)
 		gu.Backoff.Base = orDefault(gu.Backoff.Base, defaultBackoffBase)
 		gu.Backoff.Cap = orDefault(gu.Backoff.Cap, defaultBackoffCap)
 		gu.breaker = &breaker{
-			clock:    gu.Clock,
-			failures: orDefault(gu.Failures, defaultFailures),
-			pause:    orDefault(gu.ProbePause, defaultProbePause),
+			clock:         gu.Clock,
+			threshold:     orDefault(gu.FailureThreshold, defaultFailureThreshold),
+			probeInterval: orDefault(gu.ProbeInterval, defaultProbeInterval),
 		}
 		scope := gu.Scope
 		if scope == nil {
 			scope = tally.NoopScope
 		}
 		gu.counts = metric.Reasons(scope, "platform_events", reasons)
-		for cl := range classes {
+		for cl := range classCount {
 			gu.calls[cl] = scope.Tagged(map[string]string{"class": cl.String()}).Counter("platform_calls")
 		}
 	})
 }
 
-// For returns a Store whose calls are of the class.
+// For returns a Store that makes its calls with the priority of the class.
 func (gu *Guard) For(cl Class) Store {
 	gu.prepare()
-	return &view{gu: gu, class: cl}
+	return &classStore{gu: gu, class: cl}
 }
 
-// view is a Guard for one class.
-type view struct {
+// classStore is the Store that a Guard returns for one class.
+type classStore struct {
 	gu    *Guard
 	class Class
 }
 
-// attempt makes one call under the budget and the breaker.
-func (vi *view) attempt(ctx context.Context, op, key string, bu *budget, do func() error) error {
-	if err := bu.take(ctx, vi.class); err != nil {
-		vi.gu.counts[OverBudget].Inc(1)
+// attempt makes one call, subject to the rate budget and the circuit breaker.
+func (cs *classStore) attempt(ctx context.Context, op, key string, bu *budget, do func() error) error {
+	if err := bu.take(ctx, cs.class); err != nil {
+		cs.gu.counts[OverBudget].Inc(1)
 		return &Error{Op: op, Key: key, Kind: Unavailable, Err: err}
 	}
-	if !vi.gu.breaker.allow() {
-		vi.gu.counts[BreakerRefused].Inc(1)
-		return &Error{Op: op, Key: key, Kind: Unavailable, Err: errBreaker}
+	if !cs.gu.breaker.allow() {
+		cs.gu.counts[BreakerRefused].Inc(1)
+		return &Error{Op: op, Key: key, Kind: Unavailable, Err: errBreakerOpen}
 	}
-	vi.gu.calls[vi.class].Inc(1)
+	cs.gu.calls[cs.class].Inc(1)
 	err := do()
 	failed := IsKind(err, Unavailable) || IsKind(err, Unknown)
 	if failed && ctx.Err() != nil {
-		// The caller gave up, which says nothing about the platform.
+		// The caller canceled the call or its deadline passed, which is no
+		// evidence that the platform failed.
 		return err
 	}
-	if vi.gu.breaker.note(!failed) {
-		vi.gu.counts[BreakerOpened].Inc(1)
+	if cs.gu.breaker.record(!failed) {
+		cs.gu.counts[BreakerOpened].Inc(1)
 	}
 	return err
 }
 
-// again waits before the next try, if there is one.
-func (vi *view) again(ctx context.Context, try int, err error) bool {
-	if errors.Is(err, errBreaker) || errors.Is(err, errBudget) || try >= vi.gu.Tries {
+// waitForRetry waits for the back-off delay and reports whether the caller may
+// make another attempt. Calls that the circuit breaker or the rate budget refused
+// are not retried.
+func (cs *classStore) waitForRetry(ctx context.Context, try int, err error) bool {
+	if errors.Is(err, errBreakerOpen) || errors.Is(err, errBudgetExhausted) || try >= cs.gu.MaxAttempts {
 		return false
 	}
-	return vi.gu.Backoff.sleep(ctx, vi.gu.Clock, try)
+	return cs.gu.Backoff.sleep(ctx, cs.gu.Clock, try)
 }
 
-// read makes a call without effect until it is answered.
-func (vi *view) read(ctx context.Context, op, key string, do func() error) error {
+// read makes a read call and retries it while the platform is unavailable.
+func (cs *classStore) read(ctx context.Context, op, key string, do func() error) error {
 	for try := 1; ; try++ {
-		err := vi.attempt(ctx, op, key, vi.gu.reads, do)
-		if !IsKind(err, Unavailable) || !vi.again(ctx, try, err) {
+		err := cs.attempt(ctx, op, key, cs.gu.reads, do)
+		if !IsKind(err, Unavailable) || !cs.waitForRetry(ctx, try, err) {
 			return err
 		}
-		vi.gu.counts[RetryUnavailable].Inc(1)
+		cs.gu.counts[RetryUnavailable].Inc(1)
 	}
 }
 
 // Get implements Store.
-func (vi *view) Get(ctx context.Context, key string) (ob Object, err error) {
-	err = vi.read(ctx, "get", key, func() error {
-		ob, err = vi.gu.Store.Get(ctx, key)
+func (cs *classStore) Get(ctx context.Context, key string) (ob Object, err error) {
+	err = cs.read(ctx, "get", key, func() error {
+		ob, err = cs.gu.Store.Get(ctx, key)
 		return err
 	})
 	return ob, err
 }
 
 // List implements Store.
-func (vi *view) List(ctx context.Context, prefix string) (li Listing, err error) {
-	err = vi.read(ctx, "list", prefix, func() error {
-		li, err = vi.gu.Store.List(ctx, prefix)
+func (cs *classStore) List(ctx context.Context, prefix string) (li Listing, err error) {
+	err = cs.read(ctx, "list", prefix, func() error {
+		li, err = cs.gu.Store.List(ctx, prefix)
 		return err
 	})
 	return li, err
 }
 
 // Watch implements Store.
-func (vi *view) Watch(ctx context.Context, prefix string, after int64) (li Listing, err error) {
-	err = vi.read(ctx, "watch", prefix, func() error {
-		li, err = vi.gu.Store.Watch(ctx, prefix, after)
+func (cs *classStore) Watch(ctx context.Context, prefix string, after int64) (li Listing, err error) {
+	err = cs.read(ctx, "watch", prefix, func() error {
+		li, err = cs.gu.Store.Watch(ctx, prefix, after)
 		return err
 	})
 	return li, err
 }
 
 // Instances implements Store.
-func (vi *view) Instances(ctx context.Context) (list []Instance, err error) {
-	err = vi.read(ctx, "instances", "instances", func() error {
-		list, err = vi.gu.Store.Instances(ctx)
+func (cs *classStore) Instances(ctx context.Context) (list []Instance, err error) {
+	err = cs.read(ctx, "instances", "instances", func() error {
+		list, err = cs.gu.Store.Instances(ctx)
 		return err
 	})
 	return slices.Clone(list), err
 }
 
 // Update implements Store.
-func (vi *view) Update(ctx context.Context, key string, previous int64, value []byte) (version int64, err error) {
-	wr := write{op: "update", key: key, previous: previous}
-	wr.do = func() error {
-		version, err = vi.gu.Store.Update(ctx, key, previous, value)
+func (cs *classStore) Update(ctx context.Context, key string, previous int64, value []byte) (version int64, err error) {
+	wr := conditionalWrite{op: "update", key: key, previous: previous}
+	wr.send = func() error {
+		version, err = cs.gu.Store.Update(ctx, key, previous, value)
 		return err
 	}
-	wr.done = func(ob Object) bool {
+	wr.applied = func(ob Object) bool {
 		version = ob.Version
 		return ob.Version != previous && bytes.Equal(ob.Value, value)
 	}
-	err = vi.write(ctx, wr)
+	err = cs.write(ctx, wr)
 	return version, err
 }
 
 // Delete implements Store.
-func (vi *view) Delete(ctx context.Context, key string, previous int64) error {
-	wr := write{op: "delete", key: key, previous: previous}
-	wr.do = func() error { return vi.gu.Store.Delete(ctx, key, previous) }
-	wr.done = func(ob Object) bool { return ob.Version == 0 }
-	return vi.write(ctx, wr)
+func (cs *classStore) Delete(ctx context.Context, key string, previous int64) error {
+	wr := conditionalWrite{op: "delete", key: key, previous: previous}
+	wr.send = func() error { return cs.gu.Store.Delete(ctx, key, previous) }
+	wr.applied = func(ob Object) bool { return ob.Version == 0 }
+	return cs.write(ctx, wr)
 }
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -29,14 +29,15 @@
 	RunSpecs(t, "platform")
 }
 
-// flaky answers Update from a script and counts calls.
-type flaky struct {
+// flakyStore counts calls of Update and fails them with the errors of a script. A
+// nil entry, and every call after the script has ended, goes to the store.
+type flakyStore struct {
 	*platformfake.Store
 	script []error
 	calls  int
 }
 
-func (fl *flaky) Update(ctx context.Context, key string, previous int64, value []byte) (int64, error) {
+func (fl *flakyStore) Update(ctx context.Context, key string, previous int64, value []byte) (int64, error) {
 	fl.calls++
 	if len(fl.script) > 0 {
 		err := fl.script[0]
@@ -48,11 +49,11 @@
 	return fl.Store.Update(ctx, key, previous, value)
 }
 
-func fail(ki platform.ErrorKind) error { return &platform.Error{Op: "update", Kind: ki} }
+func updateError(ki platform.ErrorKind) error { return &platform.Error{Op: "update", Kind: ki} }
 
-func guard(st platform.Store, clock clockwork.Clock) *platform.Guard {
+func newGuard(st platform.Store, clock clockwork.Clock) *platform.Guard {
 	return &platform.Guard{
-		Store: st, Clock: clock, WritesPerSecond: 1000, ReadsPerSecond: 1000, Failures: 100,
+		Store: st, Clock: clock, WritesPerSecond: 1000, ReadsPerSecond: 1000, FailureThreshold: 100,
 		Backoff: platform.Backoff{Random: func(int64) int64 { return 0 }},
 	}
 }
@@ -60,10 +61,10 @@
 var _ = Describe("Guard", func() {
 	ctx := context.Background()
 
-	It("finds that a write with a lost answer took effect, and does not repeat it", func() {
+	It("detects that a write with a lost response took effect, and does not repeat it", func() {
 		st := platformfake.New()
 		st.SetFault(platformfake.LoseAnswers)
-		version, err := guard(st, clockwork.NewRealClock()).For(platform.ClassRecord).Update(ctx, "a", 0, []byte("w1"))
+		version, err := newGuard(st, clockwork.NewRealClock()).For(platform.ClassRecord).Update(ctx, "a", 0, []byte("w1"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(version).To(Equal(int64(1)))
 		_, writes := st.Calls()
@@ -71,26 +72,26 @@
 	})
 
 	It("repeats a lost write that has not taken effect", func() {
-		fl := &flaky{Store: platformfake.New(), script: []error{fail(platform.Unknown)}}
-		_, err := guard(fl, clockwork.NewRealClock()).For(platform.ClassRecord).Update(ctx, "a", 0, []byte("w1"))
+		fl := &flakyStore{Store: platformfake.New(), script: []error{updateError(platform.Unknown)}}
+		_, err := newGuard(fl, clockwork.NewRealClock()).For(platform.ClassRecord).Update(ctx, "a", 0, []byte("w1"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(fl.calls).To(Equal(2))
 	})
 
 	It("does not take another writer's value for its own", func() {
-		fl := &flaky{Store: platformfake.New(), script: []error{fail(platform.Unknown)}}
+		fl := &flakyStore{Store: platformfake.New(), script: []error{updateError(platform.Unknown)}}
 		_, _ = fl.Store.Update(ctx, "a", 0, []byte("other"))
-		_, err := guard(fl, clockwork.NewRealClock()).For(platform.ClassRecord).Update(ctx, "a", 0, []byte("w1"))
+		_, err := newGuard(fl, clockwork.NewRealClock()).For(platform.ClassRecord).Update(ctx, "a", 0, []byte("w1"))
 		Expect(platform.IsKind(err, platform.Unknown)).To(BeTrue(), "%v", err)
 	})
 
-	It("stops calling after failures in a row and probes once in each pause", func() {
+	It("opens the breaker after consecutive failures and probes once per interval", func() {
 		clock := clockwork.NewFakeClock()
-		fl := &flaky{Store: platformfake.New()}
+		fl := &flakyStore{Store: platformfake.New()}
 		for range 6 {
-			fl.script = append(fl.script, fail(platform.Unavailable))
+			fl.script = append(fl.script, updateError(platform.Unavailable))
 		}
-		gu := &platform.Guard{Store: fl, Clock: clock, Tries: 1, Failures: 5, ProbePause: time.Second}
+		gu := &platform.Guard{Store: fl, Clock: clock, MaxAttempts: 1, FailureThreshold: 5, ProbeInterval: time.Second}
 		st := gu.For(platform.ClassRecord)
 		update := func() error {
 			_, err := st.Update(ctx, "a", 0, []byte("w1"))
@@ -111,10 +112,10 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("keeps calls for configuration when records have used their share", func() {
+	It("reserves calls for configuration when status and records have used their shares", func() {
 		clock := clockwork.NewFakeClock()
-		gu := &platform.Guard{Store: platformfake.New(), Clock: clock, Tries: 1, ReadsPerSecond: 40}
-		within := func(cl platform.Class) (calls int) {
+		gu := &platform.Guard{Store: platformfake.New(), Clock: clock, MaxAttempts: 1, ReadsPerSecond: 40}
+		admitted := func(cl platform.Class) (calls int) {
 			short, cancel := context.WithDeadline(ctx, clock.Now())
 			defer cancel()
 			for {
@@ -124,14 +125,16 @@
 				calls++
 			}
 		}
-		Expect(within(platform.ClassStatus)).To(Equal(20))
-		Expect(within(platform.ClassRecord)).To(Equal(10))
-		Expect(within(platform.ClassConfiguration)).To(Equal(10))
+		Expect(admitted(platform.ClassStatus)).To(Equal(20))
+		Expect(admitted(platform.ClassRecord)).To(Equal(10))
+		Expect(admitted(platform.ClassConfiguration)).To(Equal(10))
 	})
 })
 
-// Writers append their unique number to one object through connections that
-// lose, delay and drop writes. Whatever a writer is told must hold in the end.
+// Scenario: several writers append unique markers to one object through connections
+// that lose responses and delay or drop writes. Fails if the final object lacks the
+// marker of an acknowledged write, or contains the marker of a write that failed
+// with a kind other than Unknown.
 func TestGuardTellsTheTruth(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		st := platformfake.New()
@@ -142,9 +145,9 @@
 			co.SetRandom(rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "source"), uint64(ix))))
 			co.SetFault(platformfake.LoseSome)
 			connections = append(connections, co)
-			clients = append(clients, guard(co, clockwork.NewRealClock()).For(platform.ClassRecord))
+			clients = append(clients, newGuard(co, clockwork.NewRealClock()).For(platform.ClassRecord))
 		}
-		told := make(map[string]error)
+		results := make(map[string]error)
 		for step := range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			if rapid.Bool().Draw(rt, "deliver") {
 				connections[rapid.IntRange(0, 2).Draw(rt, "late")].Deliver()
@@ -152,23 +155,23 @@
 			ob, _ := st.Get(context.Background(), "log")
 			mark := fmt.Sprintf("<%d>", step)
 			value := append(append([]byte(nil), ob.Value...), mark...)
-			// A second writer gets in between in half of the steps.
+			// In half of the steps, another writer updates the object first.
 			if rapid.Bool().Draw(rt, "race") {
 				_, _ = st.Update(context.Background(), "log", ob.Version, append(append([]byte(nil), ob.Value...), "<r>"...))
 			}
-			_, told[mark] = clients[rapid.IntRange(0, 2).Draw(rt, "client")].Update(context.Background(), "log", ob.Version, value)
+			_, results[mark] = clients[rapid.IntRange(0, 2).Draw(rt, "client")].Update(context.Background(), "log", ob.Version, value)
 		}
 		for _, co := range connections {
 			co.Deliver()
 		}
 		ob, _ := st.Get(context.Background(), "log")
-		for mark, err := range told {
+		for mark, err := range results {
 			written := contains(ob.Value, mark)
 			if err == nil && !written {
-				rt.Fatalf("%s was acknowledged and is not there", mark)
+				rt.Fatalf("write of %s was acknowledged, but the object does not contain it", mark)
 			}
 			if written && err != nil && !platform.IsKind(err, platform.Unknown) {
-				rt.Fatalf("%s is there and was refused with %v", mark, err)
+				rt.Fatalf("object contains %s, but its write failed with %v", mark, err)
 			}
 		}
 	})
@@ -190,8 +193,9 @@
 		_, err := (&platform.HTTPStore{URL: "http://" + address}).Update(ctx, "a", 0, []byte("v"))
 		return err
 	}
-	// answering listens once and answers with the bytes, or hangs up.
-	answering := func(answer string) string {
+	// serveOnce accepts one connection, sends the given bytes and closes it. It
+	// returns its address.
+	serveOnce := func(answer string) string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(ln.Close)
@@ -207,7 +211,7 @@
 		return ln.Addr().String()
 	}
 
-	It("says unavailable where no connection was made", func() {
+	It("returns Unavailable when the connection is refused", func() {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := ln.Addr().String()
@@ -215,15 +219,15 @@
 		Expect(platform.IsKind(update(address), platform.Unavailable)).To(BeTrue())
 	})
 
-	DescribeTable("says unknown of a write as soon as it was sent",
+	DescribeTable("returns Unknown for a write that may have been sent",
 		func(answer string) {
-			err := update(answering(answer))
+			err := update(serveOnce(answer))
 			Expect(platform.IsKind(err, platform.Unknown)).To(BeTrue(), "%v", err)
 		},
-		Entry("hung up", ""),
-		Entry("broken answer", "HTTP/1.1 200 OK\r\nContent-Le"),
-		Entry("answer without a version", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
-		Entry("fault of the platform", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"),
-		Entry("an intermediary's 503", "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"),
+		Entry("connection closed without a response", ""),
+		Entry("truncated response", "HTTP/1.1 200 OK\r\nContent-Le"),
+		Entry("response without a version", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
+		Entry("internal error of the platform", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"),
+		Entry("503 from an intermediary", "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"),
 	)
 })
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -14,22 +14,25 @@
 )
 
 const (
-	// callTimeout bounds a call whose context has no deadline.
+	// callTimeout bounds every call except a watch. An earlier deadline of the
+	// context takes precedence.
 	callTimeout = 2 * time.Second
-	// watchTimeout bounds a waiting watch; the platform answers before it.
+	// watchTimeout bounds a watch. It is longer than the platform's own time
+	// limit for a watch, so that the platform responds first.
 	watchTimeout = 40 * time.Second
-	// versionHeader carries an object's version.
+	// versionHeader is the response header with the version of an object.
 	versionHeader = "Object-Version"
-	// previousHeader carries the version that a write depends on.
+	// previousHeader is the request header with the version that the object must
+	// have for a write to succeed.
 	previousHeader = "If-Object-Version"
 )
 
-// HTTPStore is the Store over the platform's HTTP interface. Set the fields
-// before the first call.
+// HTTPStore implements Store over the platform's HTTP interface. Set the fields
+// before the first call. It is safe for concurrent use.
 type HTTPStore struct {
-	// URL is the platform's base address.
+	// URL is the base URL of the platform's object API.
 	URL string
-	// Client is the HTTP client to use; nil means a default one.
+	// Client is the HTTP client. Nil selects a default client.
 	Client *fasthttp.Client
 }
 
@@ -60,23 +63,23 @@
 func (hs *HTTPStore) Watch(ctx context.Context, prefix string, after int64) (Listing, error) {
 	query := "/objects?watch=true&prefix=" + url.QueryEscape(prefix) + "&after=" + strconv.FormatInt(after, 10)
 	ca := call{op: "watch", key: prefix, method: http.MethodGet, path: query, timeout: watchTimeout}
-	answers := make(chan watchAnswer, 1)
+	results := make(chan watchResult, 1)
 	go func() {
 		li, err := hs.listing(ctx, ca)
-		answers <- watchAnswer{listing: li, err: err}
+		results <- watchResult{listing: li, err: err}
 	}()
-	// fasthttp does not end a waiting call with its context, so the goroutine
-	// is left behind until the platform answers or watchTimeout passes.
+	// fasthttp does not cancel a call with its context, so the goroutine runs on
+	// until the platform responds or watchTimeout passes.
 	select {
-	case an := <-answers:
+	case an := <-results:
 		return an.listing, an.err
 	case <-ctx.Done():
-		return Listing{}, ca.fail(Unavailable, ctx.Err())
+		return Listing{}, ca.newError(Unavailable, ctx.Err())
 	}
 }
 
-// watchAnswer is what a waiting watch brings.
-type watchAnswer struct {
+// watchResult is the result of a watch that runs in its own goroutine.
+type watchResult struct {
 	listing Listing
 	err     error
 }
@@ -112,7 +115,7 @@
 	return list, err
 }
 
-// call is one HTTP exchange with the platform.
+// call describes one HTTP request to the platform.
 type call struct {
 	op, key  string
 	method   string
@@ -123,20 +126,21 @@
 	timeout  time.Duration
 }
 
-func (ca call) fail(ki ErrorKind, err error) error {
+func (ca call) newError(ki ErrorKind, err error) error {
 	return &Error{Op: ca.op, Key: ca.key, Kind: ki, Err: err}
 }
 
-// lost classifies a call that got no answer. A write is Unknown as soon as any
-// byte of it may have left.
-func (ca call) lost(err error) error {
+// transportError classifies a call without a usable response. A write is Unknown
+// as soon as any byte of the request may have been sent.
+func (ca call) transportError(err error) error {
 	if ca.write && !neverSent(err) {
-		return ca.fail(Unknown, err)
+		return ca.newError(Unknown, err)
 	}
-	return ca.fail(Unavailable, err)
+	return ca.newError(Unavailable, err)
 }
 
-// neverSent tells whether no connection was made.
+// neverSent reports whether the request failed before a connection was available,
+// so that no byte of it was sent.
 func neverSent(err error) bool {
 	var oe *net.OpError
 	return errors.Is(err, fasthttp.ErrDialTimeout) || errors.Is(err, fasthttp.ErrNoFreeConns) ||
@@ -145,7 +149,7 @@
 
 func (hs *HTTPStore) do(ctx context.Context, ca call, read func(*fasthttp.Response) error) error {
 	if err := ctx.Err(); err != nil {
-		return ca.fail(Unavailable, err)
+		return ca.newError(Unavailable, err)
 	}
 	req := fasthttp.AcquireRequest()
 	resp := fasthttp.AcquireResponse()
@@ -166,31 +170,31 @@
 		client = defaultClient
 	}
 	if err := client.DoDeadline(req, resp, deadline); err != nil {
-		return ca.lost(err)
+		return ca.transportError(err)
 	}
-	if err := ca.status(resp.StatusCode()); err != nil {
+	if err := ca.statusError(resp.StatusCode()); err != nil {
 		return err
 	}
 	if err := read(resp); err != nil {
-		return ca.lost(err)
+		return ca.transportError(err)
 	}
 	return nil
 }
 
-func (ca call) status(code int) error {
+func (ca call) statusError(code int) error {
 	switch {
 	case code == http.StatusOK:
 		return nil
 	case code == http.StatusNotFound:
-		return ca.fail(NotFound, nil)
+		return ca.newError(NotFound, nil)
 	case code == http.StatusPreconditionFailed:
-		return ca.fail(Conflict, nil)
+		return ca.newError(Conflict, nil)
 	case code == http.StatusTooManyRequests:
-		return ca.fail(Unavailable, nil)
+		return ca.newError(Unavailable, nil)
 	case code >= http.StatusInternalServerError:
-		return ca.lost(errors.New(http.StatusText(code)))
+		return ca.transportError(errors.New(http.StatusText(code)))
 	default:
-		return ca.fail(Rejected, errors.New(http.StatusText(code)))
+		return ca.newError(Rejected, errors.New(http.StatusText(code)))
 	}
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -9,29 +9,31 @@
 // MaxValueBytes is the largest value that the platform accepts.
 const MaxValueBytes = 1 << 20
 
-// Object is one stored value.
+// Object is a stored value with its key and version.
 type Object struct {
 	Key string `json:"key"`
-	// Version rises with each change of any object; zero means absent.
+	// Version is the revision of the store at the last change of the object. The
+	// revision increases with each change of any object. Zero means that the
+	// object does not exist.
 	Version int64 `json:"version"`
 	// Value is the content, base64 in JSON.
 	Value []byte `json:"value,omitempty"`
-	// Deleted marks the removal of the object in a watch.
+	// Deleted marks the deletion of the object in the result of a watch.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// Listing is a consistent set of objects.
+// Listing is a consistent set of objects at one revision of the store.
 type Listing struct {
-	// Revision is the store's version at which the listing holds. A watch
-	// from it sees every later change.
+	// Revision is the revision of the store at which the listing was read. A
+	// watch after it returns every later change.
 	Revision int64    `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-// InstanceState is what the platform says of an entry instance.
+// InstanceState is the state of an entry instance as the platform reports it.
 type InstanceState string
 
-// The states of an instance in the platform's list, which lags.
+// The states of an instance in the platform's list, which may be stale.
 const (
 	InstanceLive    InstanceState = "live"
 	InstanceLeaving InstanceState = "leaving"
@@ -42,7 +44,7 @@
 	Name  string        `json:"name"`
 	Zone  string        `json:"zone"`
 	State InstanceState `json:"state"`
-	// Peer is the IP number and port of the instance's peer listener.
+	// Peer is the IP address and port of the instance's peer listener.
 	Peer string `json:"peer"`
 }
 
@@ -57,38 +59,45 @@
 	Update(ctx context.Context, key string, previous int64, value []byte) (int64, error)
 	// Delete removes the object if its version is previous.
 	Delete(ctx context.Context, key string, previous int64) error
-	// Watch waits for changes below prefix after a revision and returns them
-	// in order, or an empty listing after the platform's own time limit.
+	// Watch waits for changes after the given revision to objects whose keys
+	// begin with prefix. It returns them in order, or an empty listing when the
+	// platform's own time limit for a watch has passed.
 	Watch(ctx context.Context, prefix string, after int64) (Listing, error)
-	// Instances returns the list of live and leaving instances, which lags.
+	// Instances returns the list of live and leaving instances, which may be
+	// stale.
 	Instances(ctx context.Context) ([]Instance, error)
 }
 
-// ErrorKind says what a failed call means to its caller.
+// ErrorKind is the class of a failed call. It tells the caller whether the call
+// may have taken effect and whether a retry is useful.
 type ErrorKind string
 
 // The kinds of error that this package reports.
 const (
 	// NotFound means that the object does not exist.
 	NotFound ErrorKind = "not_found"
-	// Conflict means that the object has another version; nothing changed.
+	// Conflict means that the object has another version and that the write did
+	// not take effect.
 	Conflict ErrorKind = "conflict"
-	// Unavailable means that the platform did not take the call.
+	// Unavailable means that a read got no response, or that a write was not
+	// sent or not accepted and had no effect.
 	Unavailable ErrorKind = "unavailable"
-	// Unknown means that the answer was lost; a write may have taken effect.
+	// Unknown means that the response to a write was lost. The write may have
+	// taken effect or may still do so.
 	Unknown ErrorKind = "unknown"
-	// Rejected means that the platform refuses the call for good.
+	// Rejected means that the platform refuses the call and that a retry would
+	// fail in the same way.
 	Rejected ErrorKind = "rejected"
 )
 
 // Error is the error type of this package.
 type Error struct {
-	// Op is the call, for example "update".
+	// Op is the name of the call, for example "update".
 	Op string
-	// Key is the object's key or the prefix.
+	// Key is the key of the object, or the prefix of a list or watch.
 	Key  string
 	Kind ErrorKind
-	// Err is the cause, or nil.
+	// Err is the cause. It is nil if the kind says all that is known.
 	Err error
 }
 
@@ -103,7 +112,7 @@
 // Unwrap returns the cause.
 func (er *Error) Unwrap() error { return er.Err }
 
-// IsKind tells whether err is a platform error of that kind.
+// IsKind reports whether err is or wraps an Error of that kind.
 func IsKind(err error, ki ErrorKind) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Kind == ki
--- a/internal/platform/platformfake/fake.go
+++ b/internal/platform/platformfake/fake.go
@@ -1,13 +1,13 @@
-// Package platformfake is an in-memory platform.Store for tests, with the
-// faults of the real one.
+// Package platformfake is an in-memory platform.Store for tests. It simulates the
+// failures of the real platform.
 //
 // # Usage
 //
 //	st := platformfake.New()
-//	st.SetFault(platformfake.LoseAnswers) // writes take effect, answers are lost
-//	other := st.Connect()                 // same objects, faults of its own
+//	st.SetFault(platformfake.LoseAnswers) // writes take effect, responses are lost
+//	other := st.Connect()                 // same objects, separate faults
 //	old := st.Copy()
-//	st.Restore(old)                       // as if restored from a backup
+//	st.Restore(old)                       // as an operator restores a backup
 package platformfake
 
 import (
@@ -22,12 +22,12 @@
 
 // Store is an in-memory platform.Store. It is safe for concurrent use.
 type Store struct {
-	*content
-	faults
+	*sharedState
+	faultInjector
 }
 
-// content is what all connections to one store share.
-type content struct {
+// sharedState is the state that all connections to one store share.
+type sharedState struct {
 	mu        sync.Mutex
 	objects   map[string]platform.Object
 	events    []platform.Object
@@ -41,30 +41,32 @@
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{content: &content{objects: make(map[string]platform.Object), changed: make(chan struct{})}}
+	return &Store{sharedState: &sharedState{objects: make(map[string]platform.Object), changed: make(chan struct{})}}
 }
 
-// Connect returns another connection to the same objects. Its faults are its
-// own, so that one instance can be cut off while another is not.
-func (st *Store) Connect() *Store { return &Store{content: st.content} }
+// Connect returns another connection to the same objects. Each connection has its
+// own faults, so that a test can isolate one instance from the store and leave
+// another connected.
+func (st *Store) Connect() *Store { return &Store{sharedState: st.sharedState} }
 
 // SetInstances replaces the list of instances.
-func (co *content) SetInstances(list []platform.Instance) {
+func (co *sharedState) SetInstances(list []platform.Instance) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	co.previous = co.instances
 	co.instances = slices.Clone(list)
 }
 
-// Calls returns the number of reads, waiting watches included, and writes.
-func (co *content) Calls() (reads, writes int) {
+// Calls returns the numbers of reads and writes. Reads include watches that still
+// wait.
+func (co *sharedState) Calls() (reads, writes int) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	return co.reads, co.writes
 }
 
-// Copy returns the objects of a moment.
-func (co *content) Copy() map[string]platform.Object {
+// Copy returns a snapshot of all objects.
+func (co *sharedState) Copy() map[string]platform.Object {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	objects := make(map[string]platform.Object, len(co.objects))
@@ -74,9 +76,9 @@
 	return objects
 }
 
-// Restore replaces all objects by a copy, as an operator of the platform does
-// from a backup. Versions fall back to those of the copy.
-func (co *content) Restore(objects map[string]platform.Object) {
+// Restore replaces all objects by those of a snapshot, as an operator of the
+// platform does from a backup. Versions go back to those of the snapshot.
+func (co *sharedState) Restore(objects map[string]platform.Object) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	co.objects = make(map[string]platform.Object, len(objects))
@@ -88,17 +90,17 @@
 		co.events = append(co.events, ob)
 	}
 	slices.SortFunc(co.events, func(le, ri platform.Object) int { return int(le.Version - ri.Version) })
-	co.wake()
+	co.notifyWatchers()
 }
 
-func (co *content) wake() {
+func (co *sharedState) notifyWatchers() {
 	close(co.changed)
 	co.changed = make(chan struct{})
 }
 
 // Get implements platform.Store.
 func (st *Store) Get(ctx context.Context, key string) (platform.Object, error) {
-	if err := st.meet(ctx, st.content, "get", key); err != nil {
+	if err := st.inject(ctx, st.sharedState, "get", key); err != nil {
 		return platform.Object{}, err
 	}
 	st.mu.Lock()
@@ -112,7 +114,7 @@
 
 // List implements platform.Store.
 func (st *Store) List(ctx context.Context, prefix string) (platform.Listing, error) {
-	if err := st.meet(ctx, st.content, "list", prefix); err != nil {
+	if err := st.inject(ctx, st.sharedState, "list", prefix); err != nil {
 		return platform.Listing{}, err
 	}
 	st.mu.Lock()
@@ -141,28 +143,28 @@
 	return err
 }
 
-// write carries a write through the connection's faults.
+// write makes a write that is subject to the faults of the connection.
 func (st *Store) write(ctx context.Context, op string, previous int64, next platform.Object) (int64, error) {
-	if err := st.meet(ctx, st.content, op, next.Key); err != nil {
+	if err := st.inject(ctx, st.sharedState, op, next.Key); err != nil {
 		return 0, err
 	}
-	lost := &platform.Error{Op: op, Key: next.Key, Kind: platform.Unknown, Err: errors.New("fake: answer lost")}
-	switch st.draw() {
-	case arrives:
+	lost := &platform.Error{Op: op, Key: next.Key, Kind: platform.Unknown, Err: errors.New("platformfake: response lost")}
+	switch st.drawOutcome() {
+	case delivered:
 		return st.apply(op, previous, next)
-	case answerLost:
+	case responseLost:
 		_, _ = st.apply(op, previous, next)
 		return 0, lost
-	case arrivesLate:
-		st.later(func() { _, _ = st.apply(op, previous, next) })
+	case deliveredLate:
+		st.deferWrite(func() { _, _ = st.apply(op, previous, next) })
 		return 0, lost
 	default:
 		return 0, lost
 	}
 }
 
-// apply takes a write that has arrived.
-func (co *content) apply(op string, previous int64, next platform.Object) (int64, error) {
+// apply performs a write that has arrived if the version of the object matches.
+func (co *sharedState) apply(op string, previous int64, next platform.Object) (int64, error) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	if co.objects[next.Key].Version != previous {
@@ -176,33 +178,33 @@
 		co.objects[next.Key] = next
 	}
 	co.events = append(co.events, next)
-	co.wake()
+	co.notifyWatchers()
 	return next.Version, nil
 }
 
-// Watch implements platform.Store. It waits until there is a change, the
-// connection breaks or ctx ends.
+// Watch implements platform.Store. It waits until there is a change, a fault fails
+// the call or ctx ends.
 func (st *Store) Watch(ctx context.Context, prefix string, after int64) (platform.Listing, error) {
 	for {
-		if err := st.meet(ctx, st.content, "watch", prefix); err != nil {
+		if err := st.inject(ctx, st.sharedState, "watch", prefix); err != nil {
 			return platform.Listing{}, err
 		}
 		st.mu.Lock()
-		li, changed := st.since(prefix, after), st.changed
+		li, changed := st.changesSince(prefix, after), st.changed
 		st.mu.Unlock()
 		if len(li.Objects) > 0 {
 			return li, nil
 		}
 		select {
 		case <-changed:
-		case <-st.broken():
+		case <-st.faultChanged():
 		case <-ctx.Done():
 			return li, &platform.Error{Op: "watch", Key: prefix, Kind: platform.Unavailable, Err: ctx.Err()}
 		}
 	}
 }
 
-func (co *content) since(prefix string, after int64) platform.Listing {
+func (co *sharedState) changesSince(prefix string, after int64) platform.Listing {
 	li := platform.Listing{Revision: co.revision}
 	for _, ev := range co.events {
 		if ev.Version > after && strings.HasPrefix(ev.Key, prefix) {
@@ -214,7 +216,7 @@
 
 // Instances implements platform.Store.
 func (st *Store) Instances(ctx context.Context) ([]platform.Instance, error) {
-	if err := st.meet(ctx, st.content, "instances", "instances"); err != nil {
+	if err := st.inject(ctx, st.sharedState, "instances", "instances"); err != nil {
 		return nil, err
 	}
 	st.mu.Lock()
--- a/internal/platform/platformfake/fault.go
+++ b/internal/platform/platformfake/fault.go
@@ -10,40 +10,40 @@
 	"filbertstall.example/filbertstall/internal/platform"
 )
 
-// Fault is how a connection to the store misbehaves.
+// Fault is a kind of failure that a connection to the store simulates.
 type Fault int
 
 // The faults of a connection.
 const (
 	// None answers every call.
 	None Fault = iota
-	// Down refuses every call without effect.
+	// Down fails every call as platform.Unavailable and without effect.
 	Down
-	// LoseAnswers lets writes take effect and loses their answers.
+	// LoseAnswers applies writes and drops their responses.
 	LoseAnswers
-	// LoseSome loses writes at random, by the source given to SetRandom: half
-	// of the calls arrive, the others lose their answer, arrive late, or never
-	// arrive.
+	// LoseSome lets half of the writes succeed. Each of the others loses its
+	// response, arrives late or never arrives. The choice is made with the
+	// random source given to SetRandom.
 	LoseSome
-	// Slow delays each call by the time given to SetDelay.
+	// Slow delays each call by the duration given to SetDelay.
 	Slow
-	// StaleLists answers Instances with the list before the newest.
+	// StaleLists makes Instances return the list before the current one.
 	StaleLists
 )
 
-// passage is what becomes of one write.
-type passage int
+// writeOutcome is the outcome of one write under a fault.
+type writeOutcome int
 
 const (
-	arrives passage = iota
-	answerLost
-	arrivesLate
-	neverArrives
-	passages
+	delivered writeOutcome = iota
+	responseLost
+	deliveredLate
+	dropped
+	outcomeCount
 )
 
-// faults are those of one connection.
-type faults struct {
+// faultInjector holds the simulated failures of one connection.
+type faultInjector struct {
 	lock     sync.Mutex
 	fault    Fault
 	random   *rand.Rand
@@ -53,9 +53,9 @@
 	pending  []func()
 }
 
-// SetFault makes the connection misbehave until the next call of SetFault.
-// Writes that were to arrive late arrive now.
-func (fa *faults) SetFault(fault Fault) {
+// SetFault sets the fault of the connection until the next call of SetFault and
+// applies the writes that are delayed so far.
+func (fa *faultInjector) SetFault(fault Fault) {
 	fa.lock.Lock()
 	fa.fault = fault
 	if fa.change != nil {
@@ -66,8 +66,8 @@
 	fa.Deliver()
 }
 
-// Deliver lets writes that were to arrive late arrive now.
-func (fa *faults) Deliver() {
+// Deliver applies the writes that LoseSome has delayed.
+func (fa *faultInjector) Deliver() {
 	fa.lock.Lock()
 	pending := fa.pending
 	fa.pending = nil
@@ -77,35 +77,36 @@
 	}
 }
 
-// SetRandom sets the source that LoseSome draws from.
-func (fa *faults) SetRandom(random *rand.Rand) {
+// SetRandom sets the random source of LoseSome. It must be set before LoseSome is
+// used.
+func (fa *faultInjector) SetRandom(random *rand.Rand) {
 	fa.lock.Lock()
 	defer fa.lock.Unlock()
 	fa.random = random
 }
 
-// SetDelay sets the delay of Slow.
-func (fa *faults) SetDelay(delay time.Duration) {
+// SetDelay sets the duration by which Slow delays a call.
+func (fa *faultInjector) SetDelay(delay time.Duration) {
 	fa.lock.Lock()
 	defer fa.lock.Unlock()
 	fa.delay = delay
 }
 
-// Injected returns how many calls have met a fault.
-func (fa *faults) Injected() int {
+// Injected returns the number of calls that a fault has affected.
+func (fa *faultInjector) Injected() int {
 	fa.lock.Lock()
 	defer fa.lock.Unlock()
 	return fa.injected
 }
 
-func (fa *faults) current() Fault {
+func (fa *faultInjector) current() Fault {
 	fa.lock.Lock()
 	defer fa.lock.Unlock()
 	return fa.fault
 }
 
-// broken returns a channel that is closed when the fault changes.
-func (fa *faults) broken() <-chan struct{} {
+// faultChanged returns a channel that is closed at the next call of SetFault.
+func (fa *faultInjector) faultChanged() <-chan struct{} {
 	fa.lock.Lock()
 	defer fa.lock.Unlock()
 	if fa.change == nil {
@@ -114,8 +115,8 @@
 	return fa.change
 }
 
-// meet counts a call and stops or delays it.
-func (fa *faults) meet(ctx context.Context, co *content, op, key string) error {
+// inject counts a call and fails or delays it as the current fault requires.
+func (fa *faultInjector) inject(ctx context.Context, co *sharedState, op, key string) error {
 	co.count(op)
 	fa.lock.Lock()
 	fault, delay := fa.fault, fa.delay
@@ -124,7 +125,7 @@
 	}
 	fa.lock.Unlock()
 	if fault == Down {
-		return &platform.Error{Op: op, Key: key, Kind: platform.Unavailable, Err: errors.New("fake: down")}
+		return &platform.Error{Op: op, Key: key, Kind: platform.Unavailable, Err: errors.New("platformfake: store is down")}
 	}
 	if fault != Slow {
 		return nil
@@ -137,7 +138,7 @@
 	}
 }
 
-func (co *content) count(op string) {
+func (co *sharedState) count(op string) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	if op == "update" || op == "delete" {
@@ -147,24 +148,24 @@
 	co.reads++
 }
 
-// draw decides what becomes of a write.
-func (fa *faults) draw() passage {
+// drawOutcome returns the outcome of a write under the current fault.
+func (fa *faultInjector) drawOutcome() writeOutcome {
 	fa.lock.Lock()
 	defer fa.lock.Unlock()
-	pa := arrives
+	ou := delivered
 	switch {
 	case fa.fault == LoseAnswers:
-		pa = answerLost
+		ou = responseLost
 	case fa.fault == LoseSome && fa.random.IntN(2) == 0:
-		pa = answerLost + passage(fa.random.IntN(int(passages-answerLost)))
+		ou = responseLost + writeOutcome(fa.random.IntN(int(outcomeCount-responseLost)))
 	}
-	if pa != arrives {
+	if ou != delivered {
 		fa.injected++
 	}
-	return pa
+	return ou
 }
 
-func (fa *faults) later(do func()) {
+func (fa *faultInjector) deferWrite(do func()) {
 	fa.lock.Lock()
 	defer fa.lock.Unlock()
 	fa.pending = append(fa.pending, do)
--- a/internal/platform/readback.go
+++ b/internal/platform/readback.go
@@ -5,30 +5,34 @@
 	"errors"
 )
 
-// write is a conditional write that may be repeated.
-type write struct {
+// conditionalWrite is a write that succeeds only if its object has the version
+// previous, which makes it safe to repeat.
+type conditionalWrite struct {
 	op, key  string
 	previous int64
-	do       func() error
-	// done tells whether the object that was read back is the write's effect.
-	done func(ob Object) bool
+	send     func() error
+	// applied reports whether the object that was read back is the result of
+	// this write.
+	applied func(ob Object) bool
 }
 
 var errUndecided = errors.New("the answer was lost and the object has changed since")
 
-// write makes a conditional write until it is known whether it took effect.
+// write repeats a conditional write until its outcome is known or no attempt is
+// left.
 //
-// Repeating is safe: the first copy to arrive changes the version, and all
-// others conflict. After a lost answer a conflict may be the write's own work,
-// so it is read back as well.
-func (vi *view) write(ctx context.Context, wr write) error {
+// Repeating is safe because the first copy that arrives changes the version and
+// all other copies conflict. After a lost response, an earlier copy of the same
+// write may have caused the conflict, so the object is read back in that case,
+// too.
+func (cs *classStore) write(ctx context.Context, wr conditionalWrite) error {
 	lost := false
 	for try := 1; ; try++ {
-		err := vi.attempt(ctx, wr.op, wr.key, vi.gu.writes, wr.do)
+		err := cs.attempt(ctx, wr.op, wr.key, cs.gu.writes, wr.send)
 		lost = lost || IsKind(err, Unknown)
-		unexplained := IsKind(err, Unknown) || (lost && (IsKind(err, Conflict) || IsKind(err, NotFound)))
-		if unexplained {
-			decided, result := vi.readBack(ctx, wr)
+		needsReadBack := IsKind(err, Unknown) || (lost && (IsKind(err, Conflict) || IsKind(err, NotFound)))
+		if needsReadBack {
+			decided, result := cs.readBack(ctx, wr)
 			if decided {
 				return result
 			}
@@ -37,43 +41,45 @@
 		if !IsKind(err, Unavailable) && !IsKind(err, Unknown) {
 			return err
 		}
-		if !vi.again(ctx, try, err) {
-			return vi.unresolved(wr, lost, err)
+		if !cs.waitForRetry(ctx, try, err) {
+			return cs.finalError(wr, lost, err)
 		}
-		vi.countRetry(lost)
+		cs.countRetry(lost)
 	}
 }
 
-// readBack finds out what became of a write whose answer was lost. It is
-// undecided while the object is as it was, since the write may still arrive.
-func (vi *view) readBack(ctx context.Context, wr write) (decided bool, result error) {
-	ob, err := vi.Get(ctx, wr.key)
+// readBack reads the object to find the outcome of a write whose response was
+// lost. The outcome is undecided while the object has its previous version,
+// because the write may still arrive.
+func (cs *classStore) readBack(ctx context.Context, wr conditionalWrite) (decided bool, result error) {
+	ob, err := cs.Get(ctx, wr.key)
 	if err != nil && !IsKind(err, NotFound) {
 		return false, &Error{Op: wr.op, Key: wr.key, Kind: Unknown, Err: err}
 	}
-	if wr.done(ob) {
-		vi.gu.counts[FoundWritten].Inc(1)
+	if wr.applied(ob) {
+		cs.gu.counts[FoundWritten].Inc(1)
 		return true, nil
 	}
 	if ob.Version == wr.previous {
 		return false, &Error{Op: wr.op, Key: wr.key, Kind: Unknown}
 	}
-	vi.gu.counts[Undecided].Inc(1)
+	cs.gu.counts[Undecided].Inc(1)
 	return true, &Error{Op: wr.op, Key: wr.key, Kind: Unknown, Err: errUndecided}
 }
 
-// unresolved returns the last error, as Unknown if any answer was lost.
-func (vi *view) unresolved(wr write, lost bool, err error) error {
+// finalError returns the error of the last attempt, as kind Unknown if any
+// response was lost.
+func (cs *classStore) finalError(wr conditionalWrite, lost bool, err error) error {
 	if !lost {
 		return err
 	}
 	return &Error{Op: wr.op, Key: wr.key, Kind: Unknown, Err: err}
 }
 
-func (vi *view) countRetry(lost bool) {
+func (cs *classStore) countRetry(lost bool) {
 	if lost {
-		vi.gu.counts[RetryLostWrite].Inc(1)
+		cs.gu.counts[RetryLostWrite].Inc(1)
 		return
 	}
-	vi.gu.counts[RetryUnavailable].Inc(1)
+	cs.gu.counts[RetryUnavailable].Inc(1)
 }
