--- a/internal/daemon/allocation.go
+++ b/internal/daemon/allocation.go
@@ -12,7 +12,8 @@
 	"filbertstall.example/filbertstall/internal/suspicion"
 )
 
-// buildAllocation makes the parts that grant places at endpoints.
+// buildAllocation creates the components that grant places at endpoints and
+// returns the granter.
 func (da *Daemon) buildAllocation(li listeners, guard *platform.Guard, client *endpoint.Client) *allocation.Granter {
 	store := guard.For(platform.ClassConfiguration)
 	caller := &peer.Client{TLS: li.peerTLS}
@@ -21,13 +22,14 @@
 	da.suspicion = &suspicion.Registry{Caller: caller, Clock: da.Clock, Peers: da.peerAddresses}
 	da.allocation = &allocation.Granter{
 		Instance: da.Settings.Name, Zone: da.Settings.Zone, Address: li.peer.Addr().String(), Store: store, Members: da.members,
-		Caller: caller, Endpoints: client, Configuration: &da.holder, Clock: da.Clock, Log: da.Log, Scope: da.root.Scope,
+		Caller: caller, Endpoints: client, Configuration: &da.configuration, Clock: da.Clock, Log: da.Log, Scope: da.root.Scope,
 		Suspicion: da.suspicion, Explain: da.explain,
 	}
 	return da.allocation
 }
 
-// registerAllocation publishes the calls that other instances make.
+// registerAllocation registers the services that other instances call on the peer
+// server.
 func (da *Daemon) registerAllocation(peers *peer.Server) error {
 	if err := peers.Register(allocation.ServiceName, da.allocation.Service()); err != nil {
 		return err
@@ -38,7 +40,8 @@
 	return peers.Register(suspicion.ServiceName, da.suspicion.Service())
 }
 
-// finder looks for explanations at all instances.
+// finder returns a finder that looks up explanations on this instance and on its
+// peers.
 func (da *Daemon) finder() *explain.Finder {
 	return &explain.Finder{Ring: da.explain, Caller: da.suspicion.Caller, Peers: da.peerAddresses}
 }
@@ -54,7 +57,8 @@
 	return list
 }
 
-// routes returns the paths of the operator API beside those of its server.
+// routes returns the operator routes that are not built into the operator server,
+// by method and path.
 func (da *Daemon) routes() map[string]operator.Route {
 	routes := maps.Clone(da.control.Routes())
 	routes["GET /explain"] = da.finder().Route()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,9 @@
-// Package daemon puts an entry instance together from its settings and runs it.
+// Package daemon assembles an entry instance from its settings and runs it.
 //
 // # Usage
 //
 //	da := &daemon.Daemon{Settings: se, Log: log, Clock: clockwork.NewRealClock(), Ready: printReady}
-//	err := da.Run(ctx) // until ctx ends, then stops in order
+//	err := da.Run(ctx) // runs until ctx ends, then shuts down gracefully
 package daemon
 
 import (
@@ -39,7 +39,8 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// Report is the line that a daemon prints when it listens.
+// Report holds the name, process ID and listener addresses of an instance. The
+// command serve prints it as one JSON line when all listeners are open.
 type Report struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone"`
@@ -54,30 +55,32 @@
 	Settings setting.Settings
 	Log      zerolog.Logger
 	Clock    clockwork.Clock
-	// Ready is called once all listeners are open.
+	// Ready is called once all listeners are open. It may be nil.
 	Ready func(Report)
 
-	holder     snapshot.Holder[kind.Configuration]
-	root       *metric.Root
-	entry      *entry.Server
-	control    *control.Control
-	allocation *allocation.Granter
-	members    *allocation.Poller
-	suspicion  *suspicion.Registry
-	explain    *explain.Ring
-	// interrupt begins the orderly stop.
-	interrupt context.CancelFunc
+	configuration snapshot.Holder[kind.Configuration]
+	root          *metric.Root
+	entry         *entry.Server
+	control       *control.Control
+	allocation    *allocation.Granter
+	members       *allocation.Poller
+	suspicion     *suspicion.Registry
+	explain       *explain.Ring
+	// requestStop starts the graceful shutdown.
+	requestStop context.CancelFunc
 }
 
-// Run runs the instance until ctx ends, then takes no new work and finishes
-// open answers within the stop timeout.
+// Run runs the instance until ctx ends or a controller fails. When ctx ends, it
+// shuts down gracefully: it accepts no new work and waits for open responses until
+// the stop timeout of the settings. It then refuses the requests that are still
+// queued and hands over the streams that are still open.
 func (da *Daemon) Run(ctx context.Context) error {
 	li, err := da.listen()
 	if err != nil {
 		return eris.Wrap(err, "listen")
 	}
-	ctx, da.interrupt = context.WithCancel(ctx)
-	defer da.interrupt()
+	ctx, da.requestStop = context.WithCancel(ctx)
+	defer da.requestStop()
 	da.root = metric.NewRoot()
 	defer func() { _ = da.root.Close() }()
 	controllers, err := da.build(li)
@@ -87,28 +90,28 @@
 	if da.Ready != nil {
 		da.Ready(da.report(li))
 	}
-	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	stopped := context.AfterFunc(ctx, func() {
-		da.stop()
+	unregister := context.AfterFunc(ctx, func() {
+		da.shutDown()
 		cancel()
 	})
-	defer stopped()
+	defer unregister()
 	gr := controller.Group{Controllers: controllers}
-	return gr.Run(running)
+	return gr.Run(runCtx)
 }
 
-func (da *Daemon) stop() {
-	da.Log.Info().Msg("daemon: stopping")
+func (da *Daemon) shutDown() {
+	da.Log.Info().Msg("daemon: shutting down")
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(da.Settings.Limits.StopTimeout))
 	defer cancel()
 	da.control.Leave(ctx)
 	da.allocation.Leave(ctx)
-	handed, err := da.entry.Stop(ctx)
+	handedOver, err := da.entry.Stop(ctx)
 	if err != nil {
-		da.Log.Warn().Err(err).Msg("daemon: not all answers ended in order")
+		da.Log.Warn().Err(err).Msg("daemon: graceful shutdown incomplete; some responses were still open")
 	}
-	da.Log.Info().Int("streams_handed_over", handed).Msg("daemon: stopped")
+	da.Log.Info().Int("streams_handed_over", handedOver).Msg("daemon: shutdown complete")
 }
 
 func (da *Daemon) report(li listeners) Report {
@@ -120,7 +123,7 @@
 	}
 }
 
-// build makes the parts of the instance and returns its controllers.
+// build creates the components of the instance and returns its controllers.
 func (da *Daemon) build(li listeners) ([]controller.Controller, error) {
 	key, err := hex.DecodeString(da.Settings.ResumeKey)
 	if err != nil {
@@ -131,8 +134,8 @@
 	client := &endpoint.Client{IdleTimeout: time.Duration(limits.IdleTimeout)}
 	da.control = &control.Control{
 		Self:  member.Member{Name: da.Settings.Name, Zone: da.Settings.Zone, Peer: li.peer.Addr().String(), Started: da.Clock.Now()},
-		Store: guard.For(platform.ClassConfiguration), Caller: &peer.Client{TLS: li.peerTLS}, Holder: &da.holder, Clock: da.Clock, Log: da.Log, Scope: da.root.Scope,
-		Seeds: da.Settings.Peers, Stop: da.interrupt,
+		Store: guard.For(platform.ClassConfiguration), Caller: &peer.Client{TLS: li.peerTLS}, Holder: &da.configuration, Clock: da.Clock, Log: da.Log, Scope: da.root.Scope,
+		Seeds: da.Settings.Peers, Stop: da.requestStop,
 	}
 	da.control.Build()
 	granter := da.control.Count(da.buildAllocation(li, guard, client))
@@ -150,14 +153,14 @@
 	}
 	calls := &call.Handler{Granter: granter, Sender: client, Book: book, Clock: da.Clock, Log: da.Log, Scope: da.root.Scope, Retries: retries}
 	da.entry = &entry.Server{
-		Listener: li.caller, Configuration: &da.holder, Instance: da.Settings.Name, Explain: da.explain,
+		Listener: li.caller, Configuration: &da.configuration, Instance: da.Settings.Name, Explain: da.explain,
 		CreateGeneration: generations.Create, ResumeGeneration: generations.Resume, Call: calls.Serve,
 		OpenStreams: generations.OpenStreams, HandOver: generations.HandOver, Hangups: hangups,
 		Metrics: metrics, Scope: da.root.Scope, Clock: da.Clock, Log: da.Log,
 		BodyBytes: limits.BodyBytes, Timeout: time.Duration(limits.Timeout), MaxTimeout: time.Duration(limits.MaxTimeout),
 	}
 	operators := &operator.Server{
-		Listener: li.operator, Configuration: &da.holder, Ready: da.entry.Ready, Metrics: metrics,
+		Listener: li.operator, Configuration: &da.configuration, Ready: da.entry.Ready, Metrics: metrics,
 		Instance: da.Settings.Name, Zone: da.Settings.Zone,
 		Routes: da.routes(),
 	}
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -11,17 +11,19 @@
 	"filbertstall.example/filbertstall/internal/setting"
 )
 
-// listeners are the open listeners of an instance.
+// listeners holds the open listeners of an instance.
 type listeners struct {
 	caller, operator, peer net.Listener
-	// peerTLS is the configuration of calls to other instances; nil without TLS.
+	// peerTLS is the TLS configuration of calls to other instances. It is nil
+	// if the peer listener has no certificate.
 	peerTLS *tls.Config
-	// certificates read certificates again when their files change.
+	// certificates are the controllers that reload certificates when their files
+	// change.
 	certificates []controller.Controller
 }
 
-// listen opens the three listeners. Those that open before a failure are
-// closed with the process.
+// listen opens the three listeners. If one fails, those that are already open stay
+// open until the process exits.
 func (da *Daemon) listen() (listeners, error) {
 	var li listeners
 	var err error
@@ -39,7 +41,9 @@
 	return li, eris.Wrap(err, "peer")
 }
 
-// open opens one listener, with TLS if its settings name a certificate.
+// open opens one listener. It uses TLS if the settings name a certificate, with
+// the TLS configuration that config returns, and then adds the source of the
+// certificate to li.
 func (da *Daemon) open(li *listeners, se setting.Listener, config func(*certificate.Source) *tls.Config) (net.Listener, error) {
 	ln, err := net.Listen("tcp", se.Listen)
 	if err != nil || !se.TLS.Enabled() {
