--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -18,17 +18,19 @@
 )
 
 const (
-	// callTimeout bounds one request to an instance.
+	// callTimeout bounds one attempt of a request to an instance.
 	callTimeout = 15 * time.Second
-	// lostAttempts is how often a request is sent whose answer is lost. All
-	// requests may be repeated: a plan is confirmed and canceled once.
-	lostAttempts = 4
-	// lostPause is the pause before it is sent again.
-	lostPause = 300 * time.Millisecond
+	// maxAttempts is the maximum number of attempts of a request that gets no
+	// response. All requests are safe to repeat: confirming and canceling a plan
+	// are idempotent.
+	maxAttempts = 4
+	// retryDelay is the delay after each attempt that got no response.
+	retryDelay = 300 * time.Millisecond
 )
 
-// access is how a command reaches the operator listener of an instance.
-type access struct {
+// operatorAccess holds the flags with which a command reaches the operator listener
+// of an instance, and sends its requests.
+type operatorAccess struct {
 	output
 	Operator string `long:"operator" env:"FILBERTSTALL_OPERATOR" value-name:"URL" required:"true" description:"Operator address of any instance"`
 	Token    string `long:"token" env:"FILBERTSTALL_TOKEN" value-name:"TOKEN" required:"true" description:"Operator's bearer token"`
@@ -36,13 +38,13 @@
 	Output   string `long:"output" choice:"table" choice:"json" default:"table" description:"How to print"`
 }
 
-// conflictError is a plan that was refused.
+// conflictError means that the instance refused a plan because of a conflict.
 type conflictError struct{ control.PlanAnswer }
 
 // Error implements error.
 func (co conflictError) Error() string { return "refused: " + co.Conflict }
 
-func (ac *access) client() (*fasthttp.Client, error) {
+func (ac *operatorAccess) client() (*fasthttp.Client, error) {
 	cl := &fasthttp.Client{NoDefaultUserAgentHeader: true}
 	if ac.CAFile == "" {
 		return cl, nil
@@ -59,23 +61,24 @@
 	return cl, nil
 }
 
-// call sends a request and decodes the answer. It sends again what was lost.
-func (ac *access) call(method, path string, body []byte, into any) error {
+// call sends a request and decodes the response into the value that into points to.
+// It retries a request that gets no response.
+func (ac *operatorAccess) call(method, path string, body []byte, into any) error {
 	cl, err := ac.client()
 	if err != nil {
-		return fault{err}
+		return commandError{err}
 	}
-	for range lostAttempts {
+	for range maxAttempts {
 		var lost bool
-		if lost, err = ac.exchange(cl, method, path, body, into); !lost {
+		if lost, err = ac.roundTrip(cl, method, path, body, into); !lost {
 			return err
 		}
-		time.Sleep(lostPause)
+		time.Sleep(retryDelay)
 	}
-	return fault{err}
+	return commandError{err}
 }
 
-func (ac *access) exchange(cl *fasthttp.Client, method, path string, body []byte, into any) (lost bool, err error) {
+func (ac *operatorAccess) roundTrip(cl *fasthttp.Client, method, path string, body []byte, into any) (lost bool, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -89,11 +92,11 @@
 	return false, ac.decode(resp, into)
 }
 
-func (ac *access) decode(resp *fasthttp.Response, into any) error {
+func (ac *operatorAccess) decode(resp *fasthttp.Response, into any) error {
 	switch resp.StatusCode() {
 	case http.StatusOK:
 		if err := json.Unmarshal(resp.Body(), into); err != nil {
-			return fault{fmt.Errorf("the answer is not understood: %w", err)}
+			return commandError{fmt.Errorf("the answer is not understood: %w", err)}
 		}
 		return nil
 	case http.StatusConflict:
@@ -104,9 +107,9 @@
 	}
 	var pr refusal.Problem
 	if err := json.Unmarshal(resp.Body(), &pr); err != nil || pr.Detail == "" {
-		return fault{fmt.Errorf("status %d", resp.StatusCode())}
+		return commandError{fmt.Errorf("status %d", resp.StatusCode())}
 	}
-	return fault{errors.New(pr.Detail)}
+	return commandError{errors.New(pr.Detail)}
 }
 
 // printJSON prints a value as JSON.
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,13 +1,18 @@
-// Package command is the command line of filbertstall.
+// Package command implements the command line of filbertstall.
 //
 // # Usage
 //
 //	os.Exit(command.Run(os.Args[1:], os.Stdout, os.Stderr))
 //
-// Each command is a file of its own with a struct whose tags are its flags.
-// Exit codes: 0 done, 1 the command found a fault, 2 the command line is wrong,
-// 3 the plan was refused because its ground moved or it is over, 4 the plan is
-// confirmed and goes on, but was not done within the time to wait.
+// Each command is a struct whose tags declare its flags. The exit codes are:
+//
+//   - 0: the command succeeded.
+//   - 1: the command failed.
+//   - 2: the command line is invalid.
+//   - 3: the plan was refused because the configuration that it is based on has
+//     changed, or because the plan has ended.
+//   - 4: the plan is confirmed and is still being applied, but was not done within
+//     the time to wait.
 package command
 
 import (
@@ -21,7 +26,7 @@
 // Version is the version of the program.
 const Version = "0.1.0"
 
-// The exit codes of the program.
+// The exit codes of the program. The package comment describes them.
 const (
 	ExitDone    = 0
 	ExitFault   = 1
@@ -30,73 +35,75 @@
 	ExitNotDone = 4
 )
 
-// output is where commands print.
+// output holds the streams that commands print to.
 type output struct {
 	out io.Writer
 	err io.Writer
 }
 
-// entry is one command of the program.
-type entry struct {
+// commandSpec is the name, the description and the options struct of one command.
+type commandSpec struct {
 	name, short string
 	command     any
 }
 
-func commands(ou output) []entry {
-	ac := access{output: ou}
-	return []entry{
+func commands(ou output) []commandSpec {
+	ac := operatorAccess{output: ou}
+	return []commandSpec{
 		{"serve", "Run an entry instance", &serve{output: ou}},
 		{"gateway", "Run an instance on the users' platform", &gateway{output: ou}},
 		{"check", "Check a settings file", &check{output: ou}},
-		{"plan", "Show what an intent will change, and keep the plan", &makePlan{access: ac}},
-		{"confirm", "Apply a plan, unless its ground moved", &confirm{access: ac}},
-		{"cancel", "Give up a plan", &cancel{access: ac}},
-		{"status", "Show instances, zones, capacity and running plans", &status{access: ac}},
-		{"get", "Show objects of a kind", &get{access: ac}},
+		{"plan", "Show what an intent will change, and keep the plan", &makePlan{operatorAccess: ac}},
+		{"confirm", "Apply a plan, unless its ground moved", &confirm{operatorAccess: ac}},
+		{"cancel", "Give up a plan", &cancel{operatorAccess: ac}},
+		{"status", "Show instances, zones, capacity and running plans", &status{operatorAccess: ac}},
+		{"get", "Show objects of a kind", &get{operatorAccess: ac}},
 		{"trace", "Show what logs say of a request of a gateway", &trace{output: ou}},
 		{"losses", "Count what became of generations by logs of gateways", &losses{output: ou}},
-		{"explain", "Show what was decided about a request", &explain{access: ac}},
+		{"explain", "Show what was decided about a request", &explain{operatorAccess: ac}},
 		{"completion", "Print a script for shell completion", &completion{output: ou}},
 	}
 }
 
-// root holds the flags that go before a command.
-type root struct {
+// globalFlags holds the flags that precede the command.
+type globalFlags struct {
 	Version func() error `long:"version" description:"Print the version and exit"`
 }
 
-// errVersion ends the parse behind --version.
+// errVersion ends the parsing of the command line after --version was handled.
 var errVersion = errors.New("version printed")
 
-// fault is an error that the user is shown without usage.
-type fault struct{ err error }
+// commandError is a failure of a command, which is shown without usage information.
+type commandError struct{ err error }
 
 // Error implements error.
-func (fa fault) Error() string { return fa.err.Error() }
+func (fa commandError) Error() string { return fa.err.Error() }
 
 // Unwrap returns the cause.
-func (fa fault) Unwrap() error { return fa.err }
+func (fa commandError) Unwrap() error { return fa.err }
 
-// Run runs the command line and returns the exit code.
+// Run parses args, runs the command and returns the exit code. It writes results to
+// out and errors to errOut.
 func Run(args []string, out, errOut io.Writer) int {
-	ro := root{Version: func() error {
+	ro := globalFlags{Version: func() error {
 		_, _ = fmt.Fprintln(out, "filbertstall", Version)
 		return errVersion
 	}}
 	parser := flags.NewNamedParser("filbertstall", flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Options", "", &ro); err != nil {
-		return report(err, out, errOut)
+		return exitCode(err, out, errOut)
 	}
 	for _, en := range commands(output{out: out, err: errOut}) {
 		if _, err := parser.AddCommand(en.name, en.short, en.short+".", en.command); err != nil {
-			return report(err, out, errOut)
+			return exitCode(err, out, errOut)
 		}
 	}
 	_, err := parser.ParseArgs(args)
-	return report(err, out, errOut)
+	return exitCode(err, out, errOut)
 }
 
-func report(err error, out, errOut io.Writer) int {
+// exitCode prints an error, if there is one, and returns its exit code.
+func exitCode(err error, out, errOut io.Writer) int {
 	var flagErr *flags.Error
 	var refused conflictError
 	var notDone notDoneError
--- a/internal/command/completion.go
+++ b/internal/command/completion.go
@@ -6,7 +6,8 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// completion prints a script that completes commands and flags in a shell.
+// completion is the command that prints a shell script which completes commands and
+// flags.
 type completion struct {
 	output
 	Args struct {
@@ -14,8 +15,8 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// bashCompletion asks the program itself: go-flags answers with the words that
-// fit when GO_FLAGS_COMPLETION is set.
+// bashCompletion calls the program for completions. If GO_FLAGS_COMPLETION is set,
+// go-flags prints the matching words.
 const bashCompletion = `_filbertstall() {
 	local IFS=$'\n'
 	COMPREPLY=($(GO_FLAGS_COMPLETION=1 "${COMP_WORDS[0]}" "${COMP_WORDS[@]:1:COMP_CWORD}"))
@@ -26,11 +27,11 @@
 // Execute implements flags.Commander.
 func (co *completion) Execute([]string) error {
 	if co.Args.Shell != "bash" {
-		return &flags.Error{Type: flags.ErrInvalidChoice, Message: errShell.Error()}
+		return &flags.Error{Type: flags.ErrInvalidChoice, Message: errUnsupportedShell.Error()}
 	}
 	co.printf("%s", bashCompletion)
 	return nil
 }
 
-// errShell says which shells are served.
-var errShell = errors.New("completion: allowed is bash")
+// errUnsupportedShell is returned for a shell other than bash.
+var errUnsupportedShell = errors.New("completion: allowed is bash")
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -17,21 +17,23 @@
 	"filbertstall.example/filbertstall/platform"
 )
 
-// gateway runs an instance on the users' platform.
+// gateway is the command that runs an instance on the users' platform.
 type gateway struct {
 	output
 	Settings string `long:"settings" value-name:"FILE" description:"The platform's settings file; its environment variable otherwise"`
 }
 
 const (
-	// logLines is how many lines wait for a slow standard output.
-	logLines = 4096
-	// logLinesPerSecond bounds the lines about requests.
+	// logBufferLines is the number of lines that are buffered while standard
+	// output is slow.
+	logBufferLines = 4096
+	// logLinesPerSecond limits the rate of lines at level info, which include
+	// those about requests.
 	logLinesPerSecond = 400
 )
 
-// Execute implements flags.Commander. It logs to standard output, and never
-// waits for it: lines that find no room are counted and dropped.
+// Execute implements flags.Commander. It logs to standard output without ever
+// blocking on it. Lines that do not fit into the buffer are dropped and counted.
 func (ga *gateway) Execute([]string) error {
 	path := ga.Settings
 	if path == "" {
@@ -39,7 +41,7 @@
 	}
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	log, closeLog := newLog(ga.output, settings.Instance)
 	defer closeLog()
@@ -57,47 +59,48 @@
 	}
 	go watchSettings(ctx, path, in, log)
 	if err := in.Run(ctx); err != nil {
-		log.Error().Str("event", "failed").Err(err).Msg("gateway: failed")
-		return fault{err}
+		log.Error().Str("event", "failed").Err(err).Msg("gateway: instance failed; exiting")
+		return commandError{err}
 	}
 	return nil
 }
 
-// settingsInterval is how often the settings file is looked at: it may change
-// without a signal.
-const settingsInterval = 2 * time.Second
+// settingsPollInterval is the interval at which the modification time of the
+// settings file is checked. The file may change without a signal.
+const settingsPollInterval = 2 * time.Second
 
-// watchSettings reloads the settings on SIGHUP and when their file changes. A
-// file that can't be read changes nothing.
+// watchSettings reloads the settings on SIGHUP and when their file changes. If the
+// file cannot be loaded, the current settings stay in force.
 func watchSettings(ctx context.Context, path string, in *gw.Gateway, log zerolog.Logger) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
-	ti := time.NewTicker(settingsInterval)
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
+	defer signal.Stop(reloads)
+	ti := time.NewTicker(settingsPollInterval)
 	defer ti.Stop()
-	changed := changeTime(path)
+	lastModified := modTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-reloads:
 		case <-ti.C:
-			if now := changeTime(path); now.Equal(changed) {
+			if now := modTime(path); now.Equal(lastModified) {
 				continue
 			}
 		}
-		changed = changeTime(path)
+		lastModified = modTime(path)
 		settings, err := platform.LoadSettings(path)
 		if err != nil {
-			log.Error().Str("event", "reload_failed").Err(err).Msg("gateway: the old settings stay in force")
+			log.Error().Str("event", "reload_failed").Err(err).Msg("gateway: settings file cannot be loaded; keeping the current settings")
 			continue
 		}
 		in.Reload(settings)
 	}
 }
 
-// changeTime returns when a file last changed, or the zero time.
-func changeTime(path string) time.Time {
+// modTime returns the modification time of a file, or the zero time if it cannot be
+// read.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path) //nolint:gosec // the operator names the file
 	if err != nil {
 		return time.Time{}
@@ -105,11 +108,11 @@
 	return info.ModTime()
 }
 
-// newLog returns a log that never blocks.
+// newLog returns a logger that never blocks, and a function that closes it.
 func newLog(ou output, instance string) (zerolog.Logger, func()) {
 	var log zerolog.Logger
-	writer := diode.NewWriter(ou.out, logLines, 0, func(missed int) {
-		log.Warn().Str("event", "log_dropped").Int("lines", missed).Msg("log: lines dropped")
+	writer := diode.NewWriter(ou.out, logBufferLines, 0, func(missed int) {
+		log.Warn().Str("event", "log_dropped").Int("lines", missed).Msg("log: buffer full; lines dropped")
 	})
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log = zerolog.New(writer).With().Timestamp().Str("instance", instance).Logger().
--- a/internal/command/page_test.go
+++ b/internal/command/page_test.go
@@ -53,9 +53,9 @@
 	return doc
 }
 
-// serve runs three instances in this process and returns the operator address
-// of the first.
-func serve(t *testing.T) string {
+// startFleet starts three instances in this process and returns the operator
+// address of the first.
+func startFleet(t *testing.T) string {
 	t.Helper()
 	store, clock := platformfake.New(), clockwork.NewRealClock()
 	cf, err := kind.NewConfiguration(pageDocument())
@@ -72,7 +72,7 @@
 		self := member.Member{Name: "entry-" + strconv.Itoa(ix), Zone: zone, Peer: "10.0.0." + strconv.Itoa(ix) + ":7100", Started: clock.Now()}
 		list = append(list, platform.Instance{Name: self.Name, Zone: zone, State: platform.InstanceLive, Peer: self.Peer})
 		store.SetInstances(list)
-		url := instance(t, store, ne, self)
+		url := startInstance(t, store, ne, self)
 		if ix == 0 {
 			address = url
 		}
@@ -80,7 +80,9 @@
 	return address
 }
 
-func instance(t *testing.T, store *platformfake.Store, ne *peerfake.Net, self member.Member) string {
+// startInstance starts one instance and returns its operator address. The instance
+// runs until the test ends.
+func startInstance(t *testing.T, store *platformfake.Store, ne *peerfake.Net, self member.Member) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	holder := new(snapshot.Holder[kind.Configuration])
@@ -101,27 +103,28 @@
 	server := &operator.Server{
 		Listener: ln, Configuration: holder, Ready: func() bool { return true }, Instance: self.Name, Zone: self.Zone, Routes: co.Routes(),
 	}
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		gr := controller.Group{Controllers: append(co.Controllers(), server)}
 		_ = gr.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-done
 	})
 	return "http://" + ln.Addr().String()
 }
 
-// run runs a command line and returns its exit code and what it printed.
+// run runs a command line and returns its exit code and its output.
 func run(line ...string) (code int, printed string) {
 	var out, errOut bytes.Buffer
 	code = command.Run(line, &out, &errOut)
 	return code, out.String() + errOut.String()
 }
 
-// session runs the blocks of one page.
+// session runs the commands of one documentation page. The words PLAN stand for the
+// last plan that was made.
 type session struct {
 	t    *testing.T
 	dir  string
@@ -136,8 +139,9 @@
 	exitNote = regexp.MustCompile(` # exit (\d)$`)
 )
 
-// block carries one fenced block out: an intent file or commands.
-func (se *session) block(info string, lines []string) {
+// runBlock writes the intent file of a fenced block, or runs its commands and checks
+// that the lines below each command occur in its output.
+func (se *session) runBlock(info string, lines []string) {
 	if name, isIntent := strings.CutPrefix(info, "hujson "); isIntent {
 		if err := os.WriteFile(filepath.Join(se.dir, name), []byte(strings.Join(lines, "\n")), 0o600); err != nil {
 			se.t.Fatal(err)
@@ -150,11 +154,13 @@
 			continue
 		}
 		if !strings.Contains(se.printed, strings.ReplaceAll(line, "PLAN", se.plan)) {
-			se.t.Errorf("%q is not in:\n%s", line, se.printed)
+			se.t.Errorf("output does not contain %q:\n%s", line, se.printed)
 		}
 	}
 }
 
+// command runs one command line of a page and checks its exit code, which is 0 unless
+// a note such as "# exit 3" ends the line.
 func (se *session) command(text string) {
 	want := command.ExitDone
 	if note := exitNote.FindStringSubmatch(text); note != nil {
@@ -174,15 +180,16 @@
 	code, se.printed = run(words...)
 	se.ran++
 	if code != want {
-		se.t.Errorf("%s: exit code %d where %d was due:\n%s", text, code, want, se.printed)
+		se.t.Errorf("%s: exit code %d, want %d:\n%s", text, code, want, se.printed)
 	}
 	if found := planLine.FindStringSubmatch(se.printed); found != nil {
 		se.plan = found[1]
 	}
 }
 
-// blocks calls do with each fenced block of a page that names what it is.
-func blocks(page string, do func(info string, lines []string)) {
+// forEachBlock calls do for each fenced block of a page, with its info string and
+// lines.
+func forEachBlock(page string, do func(info string, lines []string)) {
 	var info string
 	var lines []string
 	open := false
@@ -200,8 +207,9 @@
 	}
 }
 
-// settled waits until plans can be made.
-func settled(t *testing.T, dir string) {
+// waitUntilReady waits until all three instances have the configuration in force and
+// plans can be made.
+func waitUntilReady(t *testing.T, dir string) {
 	t.Helper()
 	path := filepath.Join(dir, "probe.hujson")
 	if err := os.WriteFile(path, []byte(`{"actions": [{"set_half": {"name": "probe"}}]}`), 0o600); err != nil {
@@ -216,7 +224,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Fatal("the instances do not start")
+	t.Fatal("the instances are not ready after 100 attempts")
 }
 
 func TestOperatorPages(t *testing.T) {
@@ -226,28 +234,28 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Setenv("FILBERTSTALL_OPERATOR", serve(t))
+			t.Setenv("FILBERTSTALL_OPERATOR", startFleet(t))
 			t.Setenv("FILBERTSTALL_TOKEN", operatorToken)
 			se := &session{t: t, dir: t.TempDir()}
-			settled(t, se.dir)
-			blocks(string(page), se.block)
+			waitUntilReady(t, se.dir)
+			forEachBlock(string(page), se.runBlock)
 			if se.ran < 3 {
-				t.Errorf("only %d commands were found on the page", se.ran)
+				t.Errorf("page contains %d commands, want at least 3", se.ran)
 			}
 		})
 	}
 }
 
 func TestRoles(t *testing.T) {
-	t.Setenv("FILBERTSTALL_OPERATOR", serve(t))
+	t.Setenv("FILBERTSTALL_OPERATOR", startFleet(t))
 	t.Setenv("FILBERTSTALL_TOKEN", operatorToken)
 	dir := t.TempDir()
-	settled(t, dir)
+	waitUntilReady(t, dir)
 	t.Setenv("FILBERTSTALL_TOKEN", "page-viewer")
 	for _, ca := range []struct {
-		line []string
-		want int
-		says string
+		line     []string
+		want     int
+		contains string
 	}{
 		{[]string{"status", "--output", "json"}, command.ExitDone, `"in_force"`},
 		{[]string{"plan", filepath.Join(dir, "probe.hujson")}, command.ExitFault, "role plan"},
@@ -260,8 +268,8 @@
 		{[]string{"status", "--token", "nobody"}, command.ExitFault, "belongs to nobody"},
 	} {
 		code, printed := run(ca.line...)
-		if code != ca.want || !strings.Contains(printed, ca.says) {
-			t.Errorf("%v: exit code %d, %q", ca.line, code, printed)
+		if code != ca.want || !strings.Contains(printed, ca.contains) {
+			t.Errorf("%v: exit code %d, output %q", ca.line, code, printed)
 		}
 	}
 }
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -11,12 +11,12 @@
 	"filbertstall.example/filbertstall/internal/plan"
 )
 
-// progressInterval is how often a waiting command asks how far a plan is.
+// progressInterval is the interval at which confirm polls the progress of a plan.
 const progressInterval = 300 * time.Millisecond
 
-// makePlan makes a plan of an intent file.
+// makePlan is the command plan, which creates a plan from an intent file.
 type makePlan struct {
-	access
+	operatorAccess
 	Args struct {
 		Intent string `positional-arg-name:"INTENT" description:"The intent file"`
 	} `positional-args:"true" required:"true"`
@@ -26,7 +26,7 @@
 func (mp *makePlan) Execute([]string) error {
 	data, err := os.ReadFile(mp.Args.Intent)
 	if err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	var an control.PlanAnswer
 	if err := mp.call(http.MethodPost, "/plans?file="+url.QueryEscape(mp.Args.Intent), data, &an); err != nil {
@@ -39,19 +39,20 @@
 	return nil
 }
 
-// planID is the argument of commands on one plan.
-type planID struct {
+// planArgs holds the argument of commands that act on one plan.
+type planArgs struct {
 	Plan string `positional-arg-name:"PLAN" description:"The plan's ID"`
 }
 
-// confirm confirms a plan and waits.
+// confirm is the command that confirms a plan and waits until it is done.
 type confirm struct {
-	access
+	operatorAccess
 	Wait time.Duration `long:"wait" default:"60s" description:"How long to wait until the plan is done"`
-	Args planID        `positional-args:"true" required:"true"`
+	Args planArgs      `positional-args:"true" required:"true"`
 }
 
-// notDoneError says how far a plan is that is not done in time.
+// notDoneError means that a confirmed plan was not done within the time to wait. Its
+// text includes the progress of the plan.
 type notDoneError struct{ pl plan.Plan }
 
 // Error implements error.
@@ -75,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	pl, err := cf.follow(an.Plan)
+	pl, err := cf.waitForPlan(an.Plan)
 	if cf.Output == "json" {
 		return errors.Join(cf.printJSON(pl), err)
 	}
@@ -93,8 +94,9 @@
 	return co
 }
 
-// follow waits until a plan is over and prints each step's progress.
-func (cf *confirm) follow(pl plan.Plan) (plan.Plan, error) {
+// waitForPlan polls a plan until it has ended or the time to wait has passed, and
+// prints its progress. It returns the last state of the plan.
+func (cf *confirm) waitForPlan(pl plan.Plan) (plan.Plan, error) {
 	until := time.Now().Add(cf.Wait)
 	shown := ""
 	for !pl.State.Over() {
@@ -113,15 +115,15 @@
 		pl = an.Plan
 	}
 	if pl.State != plan.Done {
-		return pl, fault{errors.New(string(pl.State) + ": " + pl.Note)}
+		return pl, commandError{errors.New(string(pl.State) + ": " + pl.Note)}
 	}
 	return pl, nil
 }
 
-// cancel gives a plan up.
+// cancel is the command that cancels a plan.
 type cancel struct {
-	access
-	Args planID `positional-args:"true" required:"true"`
+	operatorAccess
+	Args planArgs `positional-args:"true" required:"true"`
 }
 
 // Execute implements flags.Commander.
--- a/internal/command/print.go
+++ b/internal/command/print.go
@@ -16,7 +16,7 @@
 	_, _ = fmt.Fprintf(ou.out, format, args...)
 }
 
-// table prints rows below a heading in columns.
+// table prints rows in aligned columns below a heading.
 func (ou output) table(heading []string, rows [][]string) {
 	tw := tabwriter.NewWriter(ou.out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(tw, "  "+strings.Join(heading, "\t"))
@@ -37,7 +37,7 @@
 	for ix, st := range pl.Steps {
 		ou.printf("\nStep %d: %s\n", ix+1, st.Title)
 		for _, ch := range st.Changes {
-			ou.printf("  %s\n", describe(ch))
+			ou.printf("  %s\n", describeChange(ch))
 		}
 		if ix == 0 || !slices.Equal(st.Capacity, pl.Steps[ix-1].Capacity) {
 			ou.printCapacity(st.Capacity)
@@ -69,12 +69,13 @@
 	}
 	ou.printf("%s\n", heading)
 	for _, ch := range list {
-		ou.printf("  %s\n", describe(ch))
+		ou.printf("  %s\n", describeChange(ch))
 	}
 }
 
-// describe says a change by its fields, like: zone/suseong: state "serving" -> "out".
-func describe(ch plan.Change) string {
+// describeChange formats a change with the old and new values of its fields, for
+// example: zone/suseong: state "serving" -> "out".
+func describeChange(ch plan.Change) string {
 	switch {
 	case ch.Before == nil:
 		return ch.Object() + ": added " + string(ch.After)
@@ -96,7 +97,7 @@
 	return ch.Object() + ": " + strings.Join(parts, ", ")
 }
 
-// progress says how far a plan is in one line.
+// progress formats the current step of a plan as one line.
 func progress(pl plan.Plan) string {
 	ix := pl.Current()
 	if ix >= len(pl.Steps) {
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -13,22 +13,22 @@
 	"filbertstall.example/filbertstall/internal/setting"
 )
 
-// serve runs an entry instance.
+// serve is the command that runs an entry instance.
 type serve struct {
 	output
 	Settings string `long:"settings" value-name:"FILE" required:"true" description:"The settings file"`
 }
 
-// Execute implements flags.Commander. It prints one JSON line on standard
-// output when the instance listens, and logs to standard error.
+// Execute implements flags.Commander. It prints a daemon.Report as one JSON line to
+// standard output when the instance listens, and logs to standard error.
 func (se *serve) Execute([]string) error {
 	settings, err := setting.Load(se.Settings)
 	if err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	level, err := zerolog.ParseLevel(settings.Log.Level)
 	if err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	log := zerolog.New(se.err).Level(level).With().Timestamp().Str("instance", settings.Name).Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -38,7 +38,7 @@
 		Ready: func(re daemon.Report) { _ = json.NewEncoder(se.out).Encode(re) },
 	}
 	if err := da.Run(ctx); err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	return nil
 }
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -13,12 +13,13 @@
 	"filbertstall.example/filbertstall/internal/control"
 )
 
-// watchInterval is how often status --watch prints.
+// watchInterval is the interval at which status --watch prints.
 const watchInterval = 2 * time.Second
 
-// status prints where the fleet stands.
+// status is the command that prints the state of the fleet: its configuration,
+// instances, zones, capacity and running plans.
 type status struct {
-	access
+	operatorAccess
 	Watch bool `long:"watch" description:"Print again every two seconds until interrupted"`
 }
 
@@ -70,9 +71,9 @@
 	return nil
 }
 
-// get prints objects.
+// get is the command that prints the objects of a kind.
 type get struct {
-	access
+	operatorAccess
 	Args struct {
 		Kind string `positional-arg-name:"KIND" description:"half, zone, team, service, endpoint or plan" required:"1"`
 		Name string `positional-arg-name:"NAME" description:"One object's name"`
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// getColumns are the fields that get shows of each kind in a table.
+// getColumns holds the fields of each kind that get prints as table columns. Objects
+// of other kinds are printed as JSON.
 var getColumns = map[string][]string{
 	"half":     {"name"},
 	"zone":     {"name", "region", "half", "state"},
@@ -119,9 +121,9 @@
 	"plan":     {"id", "state", "author", "made", "reason", "note"},
 }
 
-// explain prints what was decided about a request.
+// explain is the command that prints the decisions about a request.
 type explain struct {
-	access
+	operatorAccess
 	Args struct {
 		Request string `positional-arg-name:"REQUEST" description:"The request's ID"`
 	} `positional-args:"true" required:"true"`
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -10,7 +10,8 @@
 	"filbertstall.example/filbertstall/platform"
 )
 
-// trace prints what logs say of a request.
+// trace is the command that prints the log lines about a request and the cause of
+// its outcome.
 type trace struct {
 	output
 	Raw  bool `long:"raw" description:"Print the log lines as they are"`
@@ -20,19 +21,19 @@
 	} `positional-args:"true" required:"1"`
 }
 
-// Execute implements flags.Commander. It fails if no line has the request.
+// Execute implements flags.Commander. It fails if no log line is about the request.
 func (tr *trace) Execute([]string) error {
 	logs, closeLogs, err := openLogs(tr.Args.Logs)
 	if err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	defer closeLogs()
 	st, err := tracing.Read(logs, tr.Args.Request)
 	if err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	if len(st.Lines) == 0 {
-		return fault{fmt.Errorf("trace: no line about request %s", tr.Args.Request)}
+		return commandError{fmt.Errorf("trace: no line about request %s", tr.Args.Request)}
 	}
 	for _, li := range st.Lines {
 		text := li.String()
@@ -45,8 +46,8 @@
 	return nil
 }
 
-// openLogs opens log files one behind the other, or standard input if none is
-// named.
+// openLogs returns a reader of the concatenated log files, or of standard input if
+// paths is empty.
 func openLogs(paths []string) (logs io.Reader, closeLogs func(), err error) {
 	if len(paths) == 0 {
 		return os.Stdin, func() {}, nil
@@ -69,7 +70,7 @@
 	return io.MultiReader(readers...), closeLogs, nil
 }
 
-// losses prints what became of the generations that logs tell of.
+// losses is the command that counts the outcomes of the generations in logs.
 type losses struct {
 	output
 	Args struct {
@@ -81,12 +82,12 @@
 func (lo *losses) Execute([]string) error {
 	logs, closeLogs, err := openLogs(lo.Args.Logs)
 	if err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	defer closeLogs()
 	rows, err := tracing.Losses(logs)
 	if err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	tw := tabwriter.NewWriter(lo.out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(tw, "ENDING\tCOUNT\tEVENTS\tEXAMPLE")
@@ -94,16 +95,16 @@
 		_, _ = fmt.Fprintf(tw, "%s\t%d\t%d\t%s\n", ro.Ending, ro.Count, ro.Events, ro.Example)
 	}
 	if err := tw.Flush(); err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	return nil
 }
 
-// checkPlatform checks a settings file of the platform.
+// checkPlatform validates a settings file in the platform's format.
 func checkPlatform(ou output, path string) error {
 	se, err := platform.LoadSettings(path)
 	if err != nil {
-		return fault{err}
+		return commandError{err}
 	}
 	_, _ = fmt.Fprintf(ou.out, "%s: settings of instance %s in zone %s are valid\n", path, se.Instance, se.Zone)
 	return nil
