--- a/internal/explain/finder.go
+++ b/internal/explain/finder.go
@@ -12,13 +12,13 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// ServiceName is the name of the service between instances.
+// ServiceName is the net/rpc name under which instances register Service.
 const ServiceName = "Explain"
 
-// findTimeout bounds the question to the other instances.
+// findTimeout bounds the query to all other instances.
 const findTimeout = time.Second
 
-// Finder looks for explanations at this instance and then at all others. Set
+// Finder looks up explanations on this instance first and then on all others. Set
 // the fields before the first call.
 type Finder struct {
 	Ring   *Ring
@@ -27,29 +27,30 @@
 	Peers func() []string
 }
 
-// FindArgs asks for the explanation of a request.
+// FindArgs is the argument of Service.Find: the ID of a request.
 type FindArgs struct{ Request string }
 
-// FindReply is the answer to FindArgs.
+// FindReply is the result of Service.Find. Explanation is valid only if Found is
+// set.
 type FindReply struct {
 	Found       bool
 	Explanation Explanation
 }
 
-// Service is what other instances call.
+// Service is the net/rpc service that other instances call.
 type Service struct{ ring *Ring }
 
 // Service returns the service to register under ServiceName.
 func (fi *Finder) Service() *Service { return &Service{ring: fi.Ring} }
 
-// Find returns what this instance knows of a request.
+// Find returns the events of a request that this instance has recorded.
 func (se *Service) Find(args *FindArgs, reply *FindReply) error {
 	reply.Explanation, reply.Found = se.ring.Explain(args.Request)
 	return nil
 }
 
-// Find returns what any instance knows of a request. Instances that do not
-// answer in time count as not knowing it.
+// Find returns the explanation of a request from the first instance that has one.
+// Instances that do not respond within one second count as having none.
 func (fi *Finder) Find(ctx context.Context, id string) (Explanation, bool) {
 	if ex, found := fi.Ring.Explain(id); found {
 		return ex, true
@@ -77,7 +78,7 @@
 	return Explanation{}, false
 }
 
-// Route serves GET /explain?request=ID on the operator's listener.
+// Route returns the route GET /explain?request=ID of the operator listener.
 func (fi *Finder) Route() operator.Route {
 	return operator.Route{Role: kind.RoleView, Serve: func(re operator.Request) (any, error) {
 		id := string(re.HTTP.QueryArgs().Peek("request"))
--- a/internal/explain/ring.go
+++ b/internal/explain/ring.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// ringRequests is how many requests are kept.
-	ringRequests = 4096
-	// maxEvents bounds the events of one request; later ones replace the last.
+	// maxRequests is the number of requests whose events are kept.
+	maxRequests = 4096
+	// maxEvents is the maximum number of events per request. Further events
+	// replace the last one.
 	maxEvents = 32
 )
 
-// Step is what happened to a request.
+// Step is the kind of an event of a request.
 type Step string
 
 // The steps of a request.
@@ -28,40 +29,42 @@
 	Retried  Step = "retried"
 	Released Step = "released"
 	Suspect  Step = "suspect"
-	// Answered is the refusal that the caller got.
+	// Answered means that the caller received the refusal in Reason.
 	Answered Step = "answered"
 )
 
-// Event is one decision about a request.
+// Event is one decision about a request, with its reason.
 type Event struct {
 	At       time.Time `json:"at"`
 	Step     Step      `json:"step"`
 	Zone     string    `json:"zone,omitempty"`
 	Endpoint string    `json:"endpoint,omitempty"`
-	// Instance is the one that decided, if it is another.
+	// Instance is the name of the instance that decided. It is empty if this
+	// instance decided itself.
 	Instance string `json:"instance,omitempty"`
 	Reason   string `json:"reason,omitempty"`
 	WaitedMS int64  `json:"waited_ms,omitempty"`
 }
 
-// Explanation is all that is known of one request.
+// Explanation is the list of recorded events of one request, in order of time.
 type Explanation struct {
 	Request string  `json:"request"`
 	Events  []Event `json:"events"`
 }
 
-// Ring keeps the events of the last requests. Set Clock before the first call.
-// It is safe for concurrent use. A nil Ring keeps nothing.
+// Ring is a ring buffer with the events of the most recent requests. Set Clock
+// before the first call. It is safe for concurrent use. Add does nothing on a nil
+// Ring.
 type Ring struct {
 	Clock clockwork.Clock
 
 	mu     sync.Mutex
-	order  [ringRequests]string
+	order  [maxRequests]string
 	next   int
 	events map[string][]Event
 }
 
-// Add keeps an event of a request; the ring sets its time.
+// Add records an event of a request and sets its time to now.
 func (ri *Ring) Add(id string, ev Event) {
 	if ri == nil {
 		return
@@ -71,7 +74,7 @@
 	defer ri.mu.Unlock()
 	list, found := ri.events[id]
 	if !found {
-		ri.admit(id)
+		ri.insert(id)
 	}
 	if len(list) == maxEvents {
 		list[maxEvents-1] = ev
@@ -80,17 +83,17 @@
 	ri.events[id] = append(list, ev)
 }
 
-// admit makes room for a request in place of the oldest.
-func (ri *Ring) admit(id string) {
+// insert adds a request to the ring and evicts the oldest one if the ring is full.
+func (ri *Ring) insert(id string) {
 	if ri.events == nil {
-		ri.events = make(map[string][]Event, ringRequests)
+		ri.events = make(map[string][]Event, maxRequests)
 	}
 	delete(ri.events, ri.order[ri.next])
 	ri.order[ri.next] = id
-	ri.next = (ri.next + 1) % ringRequests
+	ri.next = (ri.next + 1) % maxRequests
 }
 
-// Explain returns what is known of a request.
+// Explain returns the recorded events of a request and whether the ring has any.
 func (ri *Ring) Explain(id string) (Explanation, bool) {
 	ri.mu.Lock()
 	defer ri.mu.Unlock()
--- a/internal/explain/ring_test.go
+++ b/internal/explain/ring_test.go
@@ -32,25 +32,25 @@
 	gm.Expect(ex.Events[0].Step).To(Equal(explain.Queued))
 }
 
-// others is a peer.Caller to instances that are known by address.
-type others map[string]*explain.Finder
+// fakePeers is a peer.Caller that calls the finders of a map by peer address.
+type fakePeers map[string]*explain.Finder
 
-func (ot others) Call(_ context.Context, address, _ string, args, reply any) error {
-	fi, found := ot[address]
+func (fp fakePeers) Call(_ context.Context, address, _ string, args, reply any) error {
+	fi, found := fp[address]
 	if !found {
-		return errors.New("no answer")
+		return errors.New("peer does not respond")
 	}
 	return fi.Service().Find(args.(*explain.FindArgs), reply.(*explain.FindReply))
 }
 
-// TestRoute asks an instance about its own request, about one of another
-// instance while a third is dead, and about one that nobody knows.
+// TestRoute queries one instance for a request of its own, for a request of another
+// instance while a third one does not respond, and for an unknown request.
 func TestRoute(t *testing.T) {
 	gm := NewWithT(t)
 	clock := clockwork.NewFakeClock()
 	second := &explain.Finder{Ring: &explain.Ring{Clock: clock}}
 	first := &explain.Finder{
-		Ring: &explain.Ring{Clock: clock}, Caller: others{"second": second},
+		Ring: &explain.Ring{Clock: clock}, Caller: fakePeers{"second": second},
 		Peers: func() []string { return []string{"dead", "second"} },
 	}
 	first.Ring.Add("r1", explain.Event{Step: explain.Granted, Endpoint: "engine-3"})
