--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,5 +1,5 @@
-// Package metric resolves the counters of the request path once, so that a
-// request only adds to them.
+// Package metric creates the counters of the request path once, so that a request
+// only increments them and does not look them up.
 //
 // # Usage
 //
@@ -21,18 +21,21 @@
 
 const reportInterval = time.Second
 
-// Root is the root of a process's metrics.
+// Root holds the root scope of the metrics of a process and the handler that
+// serves them.
 type Root struct {
 	Scope tally.Scope
-	// Handler serves the metrics as Prometheus text.
+	// Handler serves the metrics in the Prometheus text format.
 	Handler http.Handler
 
 	closer io.Closer
 }
 
-// NewRoot returns a root that reports through tally's Prometheus reporter.
+// NewRoot returns a root that reports through the Prometheus reporter of tally. Its
+// metrics have the prefix filbertstall.
 func NewRoot() *Root {
-	// A registry of its own: two roots in one process must not meet.
+	// A separate registry keeps the metrics of two roots in one process apart.
+	// The default registry would be shared.
 	registry := client.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -42,10 +45,11 @@
 	return &Root{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close reports what is left and stops.
+// Close reports the remaining values and stops reporting.
 func (ro *Root) Close() error { return ro.closer.Close() }
 
-// Reasons resolves one counter for each reason of a closed set.
+// Reasons returns a counter for each reason of a fixed set. The counters have the
+// same name and differ in the label reason.
 func Reasons[R ~string](scope tally.Scope, name string, reasons []R) map[R]tally.Counter {
 	counters := make(map[R]tally.Counter, len(reasons))
 	for _, re := range reasons {
