--- a/internal/report/doc.go
+++ b/internal/report/doc.go
@@ -1,5 +1,5 @@
-// Package report renders measurements as one HTML page with plots that needs
-// no other file.
+// Package report renders measurements as a self-contained HTML page with charts
+// and tables.
 //
 // # Usage
 //
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -5,18 +5,19 @@
 	"io"
 )
 
-// Table is a table of a page.
+// Table is a table with a heading row.
 type Table struct {
-	Title  string
-	Head   []string
-	Rows   [][]string
+	Title string
+	Head  []string
+	Rows  [][]string
+	// Failed marks the indexes of rows that are highlighted as failed.
 	Failed map[int]bool
 }
 
-// Page is one report.
+// Page is the content of a report. Write renders the charts before the tables.
 type Page struct {
 	Title string
-	// Summary is one sentence on what was run.
+	// Summary is one sentence that describes the measured run.
 	Summary string
 	Charts  []Chart
 	Tables  []Table
@@ -64,5 +65,5 @@
 </html>
 `))
 
-// Write writes the page as HTML.
+// Write renders the page as HTML to wr.
 func (pa Page) Write(wr io.Writer) error { return pageTemplate.Execute(wr, pa) }
