--- a/cmd/filbertbench/main.go
+++ b/cmd/filbertbench/main.go
@@ -1,5 +1,5 @@
-// Command filbertbench starts deployments of stand-ins, puts load on them and
-// reports what callers saw. See the package internal/bench.
+// Command filbertbench starts deployments of stand-ins, generates load and reports
+// the results that callers observed. See the package internal/bench.
 package main
 
 import (
--- a/cmd/filbertstall/link.go
+++ b/cmd/filbertstall/link.go
@@ -3,6 +3,6 @@
 // #include <stdlib.h>
 import "C"
 
-// The users' machines run programs that are linked against the C library by
-// the external linker; the import above makes that so whatever the standard
-// library needs.
+// The users' machines require programs that the external linker links against the
+// C library. The import of "C" above forces this, even if the standard library does
+// not need it.
--- a/cmd/filbertstall/main.go
+++ b/cmd/filbertstall/main.go
@@ -1,5 +1,6 @@
-// Command filbertstall serves callers as an entry instance and carries out
-// operators' intents. See the package internal/command.
+// Command filbertstall runs an entry instance, which serves callers, and offers the
+// commands with which operators plan and confirm changes. See the package
+// internal/command.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs a stand-in for an engine, a plain service or the
-// platform. It prints one JSON line with its address when it listens.
+// Command standin runs a stand-in for a model engine, a plain service or the
+// platform. It prints one JSON line with its address and process ID when it listens.
 package main
 
 import (
@@ -15,31 +15,31 @@
 	"filbertstall.example/filbertstall/internal/standin"
 )
 
-// listen holds the flags that all stand-ins share.
-type listen struct {
+// listenFlags holds the flags that all stand-ins share.
+type listenFlags struct {
 	Name   string `long:"name" default:"standin" description:"Name in answers"`
 	Listen string `long:"listen" default:"127.0.0.1:0" description:"Address to listen on"`
 }
 
-// ready is the line that a stand-in prints.
-type ready struct {
+// readyLine is the JSON line that a stand-in prints when it listens.
+type readyLine struct {
 	URL string `json:"url"`
 	PID int    `json:"pid"`
 }
 
-func (li listen) serve(ha standin.Handler) error {
+func (li listenFlags) serve(ha standin.Handler) error {
 	ln, err := net.Listen("tcp", li.Listen)
 	if err != nil {
 		return err
 	}
-	if err := json.NewEncoder(os.Stdout).Encode(ready{URL: "http://" + ln.Addr().String(), PID: os.Getpid()}); err != nil {
+	if err := json.NewEncoder(os.Stdout).Encode(readyLine{URL: "http://" + ln.Addr().String(), PID: os.Getpid()}); err != nil {
 		return err
 	}
 	return standin.Serve(ln, ha)
 }
 
 type engine struct {
-	listen
+	listenFlags
 	Seed          uint64        `long:"seed" default:"1" description:"Draws lengths that no request states"`
 	MemoryTokens  int           `long:"memory-tokens" default:"60000" description:"Decode memory"`
 	Sequences     int           `long:"sequences" default:"256" description:"Most sequences at once"`
@@ -62,7 +62,7 @@
 }
 
 type service struct {
-	listen
+	listenFlags
 	Delay time.Duration `long:"delay" default:"5ms" description:"How long a call takes"`
 }
 
@@ -72,7 +72,7 @@
 }
 
 type platform struct {
-	listen
+	listenFlags
 	ListLag time.Duration `long:"list-lag" default:"1s" description:"Lag of the list of instances"`
 }
 
@@ -81,7 +81,7 @@
 	return pl.serve(standin.NewPlatform(pl.ListLag))
 }
 
-// options are the commands of the program.
+// options holds the commands of the program.
 type options struct {
 	Engine   engine   `command:"engine" description:"A model engine"`
 	Service  service  `command:"service" description:"A plain service"`
