--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -77,24 +77,24 @@
 type commandError struct{ err error }
 
 // Error implements error.
-func (fa commandError) Error() string { return fa.err.Error() }
+func (ce commandError) Error() string { return ce.err.Error() }
 
 // Unwrap returns the cause.
-func (fa commandError) Unwrap() error { return fa.err }
+func (ce commandError) Unwrap() error { return ce.err }
 
 // Run parses args, runs the command and returns the exit code. It writes results to
 // out and errors to errOut.
 func Run(args []string, out, errOut io.Writer) int {
-	ro := globalFlags{Version: func() error {
+	gf := globalFlags{Version: func() error {
 		_, _ = fmt.Fprintln(out, "filbertstall", Version)
 		return errVersion
 	}}
 	parser := flags.NewNamedParser("filbertstall", flags.HelpFlag|flags.PassDoubleDash)
-	if _, err := parser.AddGroup("Options", "", &ro); err != nil {
+	if _, err := parser.AddGroup("Options", "", &gf); err != nil {
 		return exitCode(err, out, errOut)
 	}
-	for _, en := range commands(output{out: out, err: errOut}) {
-		if _, err := parser.AddCommand(en.name, en.short, en.short+".", en.command); err != nil {
+	for _, cs := range commands(output{out: out, err: errOut}) {
+		if _, err := parser.AddCommand(cs.name, cs.short, cs.short+".", cs.command); err != nil {
 			return exitCode(err, out, errOut)
 		}
 	}
--- a/internal/command/page_test.go
+++ b/internal/command/page_test.go
@@ -123,8 +123,8 @@
 	return code, out.String() + errOut.String()
 }
 
-// session runs the commands of one documentation page. The words PLAN stand for the
-// last plan that was made.
+// session runs the commands of one documentation page. The word PLAN on a page
+// stands for the ID of the last plan that was made.
 type session struct {
 	t    *testing.T
 	dir  string
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -97,7 +97,7 @@
 	// Key is the key of the object, or the prefix of a list or watch.
 	Key  string
 	Kind ErrorKind
-	// Err is the cause. It is nil if the kind says all that is known.
+	// Err is the underlying error, or nil if there is none.
 	Err error
 }
 
--- a/internal/platform/platformfake/fake.go
+++ b/internal/platform/platformfake/fake.go
@@ -50,27 +50,27 @@
 func (st *Store) Connect() *Store { return &Store{sharedState: st.sharedState} }
 
 // SetInstances replaces the list of instances.
-func (co *sharedState) SetInstances(list []platform.Instance) {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	co.previous = co.instances
-	co.instances = slices.Clone(list)
+func (ss *sharedState) SetInstances(list []platform.Instance) {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	ss.previous = ss.instances
+	ss.instances = slices.Clone(list)
 }
 
 // Calls returns the numbers of reads and writes. Reads include watches that still
 // wait.
-func (co *sharedState) Calls() (reads, writes int) {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	return co.reads, co.writes
+func (ss *sharedState) Calls() (reads, writes int) {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	return ss.reads, ss.writes
 }
 
 // Copy returns a snapshot of all objects.
-func (co *sharedState) Copy() map[string]platform.Object {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	objects := make(map[string]platform.Object, len(co.objects))
-	for key, ob := range co.objects {
+func (ss *sharedState) Copy() map[string]platform.Object {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	objects := make(map[string]platform.Object, len(ss.objects))
+	for key, ob := range ss.objects {
 		objects[key] = ob
 	}
 	return objects
@@ -78,24 +78,24 @@
 
 // Restore replaces all objects by those of a snapshot, as an operator of the
 // platform does from a backup. Versions go back to those of the snapshot.
-func (co *sharedState) Restore(objects map[string]platform.Object) {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	co.objects = make(map[string]platform.Object, len(objects))
-	co.revision = 0
-	co.events = nil
+func (ss *sharedState) Restore(objects map[string]platform.Object) {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	ss.objects = make(map[string]platform.Object, len(objects))
+	ss.revision = 0
+	ss.events = nil
 	for key, ob := range objects {
-		co.objects[key] = ob
-		co.revision = max(co.revision, ob.Version)
-		co.events = append(co.events, ob)
+		ss.objects[key] = ob
+		ss.revision = max(ss.revision, ob.Version)
+		ss.events = append(ss.events, ob)
 	}
-	slices.SortFunc(co.events, func(le, ri platform.Object) int { return int(le.Version - ri.Version) })
-	co.notifyWatchers()
+	slices.SortFunc(ss.events, func(le, ri platform.Object) int { return int(le.Version - ri.Version) })
+	ss.notifyWatchers()
 }
 
-func (co *sharedState) notifyWatchers() {
-	close(co.changed)
-	co.changed = make(chan struct{})
+func (ss *sharedState) notifyWatchers() {
+	close(ss.changed)
+	ss.changed = make(chan struct{})
 }
 
 // Get implements platform.Store.
@@ -164,21 +164,21 @@
 }
 
 // apply performs a write that has arrived if the version of the object matches.
-func (co *sharedState) apply(op string, previous int64, next platform.Object) (int64, error) {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	if co.objects[next.Key].Version != previous {
+func (ss *sharedState) apply(op string, previous int64, next platform.Object) (int64, error) {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	if ss.objects[next.Key].Version != previous {
 		return 0, &platform.Error{Op: op, Key: next.Key, Kind: platform.Conflict}
 	}
-	co.revision++
-	next.Version = co.revision
+	ss.revision++
+	next.Version = ss.revision
 	if next.Deleted {
-		delete(co.objects, next.Key)
+		delete(ss.objects, next.Key)
 	} else {
-		co.objects[next.Key] = next
+		ss.objects[next.Key] = next
 	}
-	co.events = append(co.events, next)
-	co.notifyWatchers()
+	ss.events = append(ss.events, next)
+	ss.notifyWatchers()
 	return next.Version, nil
 }
 
@@ -204,9 +204,9 @@
 	}
 }
 
-func (co *sharedState) changesSince(prefix string, after int64) platform.Listing {
-	li := platform.Listing{Revision: co.revision}
-	for _, ev := range co.events {
+func (ss *sharedState) changesSince(prefix string, after int64) platform.Listing {
+	li := platform.Listing{Revision: ss.revision}
+	for _, ev := range ss.events {
 		if ev.Version > after && strings.HasPrefix(ev.Key, prefix) {
 			li.Objects = append(li.Objects, ev)
 		}
--- a/internal/platform/platformfake/fault.go
+++ b/internal/platform/platformfake/fault.go
@@ -15,7 +15,7 @@
 
 // The faults of a connection.
 const (
-	// None answers every call.
+	// None simulates no failure.
 	None Fault = iota
 	// Down fails every call as platform.Unavailable and without effect.
 	Down
@@ -116,8 +116,8 @@
 }
 
 // inject counts a call and fails or delays it as the current fault requires.
-func (fa *faultInjector) inject(ctx context.Context, co *sharedState, op, key string) error {
-	co.count(op)
+func (fa *faultInjector) inject(ctx context.Context, ss *sharedState, op, key string) error {
+	ss.count(op)
 	fa.lock.Lock()
 	fault, delay := fa.fault, fa.delay
 	if fault == Down || fault == Slow {
@@ -138,14 +138,14 @@
 	}
 }
 
-func (co *sharedState) count(op string) {
-	co.mu.Lock()
-	defer co.mu.Unlock()
+func (ss *sharedState) count(op string) {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
 	if op == "update" || op == "delete" {
-		co.writes++
+		ss.writes++
 		return
 	}
-	co.reads++
+	ss.reads++
 }
 
 // drawOutcome returns the outcome of a write under the current fault.
