--- a/internal/platform/backoff.go
+++ b/internal/platform/backoff.go
@@ -36,12 +36,12 @@
 // waited in full. It returns false at once if the delay would end after the
 // deadline of ctx, and as soon as ctx is canceled.
 func (ba Backoff) sleep(ctx context.Context, clock clockwork.Clock, try int) bool {
-	pause := ba.Pause(try)
-	if until, ok := ctx.Deadline(); ok && clock.Until(until) < pause {
+	delay := ba.Pause(try)
+	if until, ok := ctx.Deadline(); ok && clock.Until(until) < delay {
 		return false
 	}
 	select {
-	case <-clock.After(pause):
+	case <-clock.After(delay):
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/platform/breaker.go
+++ b/internal/platform/breaker.go
@@ -37,11 +37,11 @@
 }
 
 // record counts the result of a call and reports whether this result opened the
-// breaker.
-func (br *breaker) record(answered bool) bool {
+// breaker. available is false if the call failed as Unavailable or Unknown.
+func (br *breaker) record(available bool) bool {
 	br.mu.Lock()
 	defer br.mu.Unlock()
-	if answered {
+	if available {
 		br.consecutiveFailures = 0
 		return false
 	}
--- a/internal/platform/budget.go
+++ b/internal/platform/budget.go
@@ -14,11 +14,12 @@
 
 // The classes, from the highest to the lowest priority.
 const (
-	// ClassConfiguration is for configuration, plans and leases.
+	// ClassConfiguration is for configuration, plans, leases and the list of
+	// instances.
 	ClassConfiguration Class = iota
 	// ClassRecord is for the stored records of calls.
 	ClassRecord
-	// ClassStatus is for status reports and the list of instances.
+	// ClassStatus is for status reports, which can wait the longest.
 	ClassStatus
 	classCount
 )
@@ -38,6 +39,7 @@
 // higher priority. It is safe for concurrent use.
 type budget struct {
 	clock clockwork.Clock
+	// rate is the number of tokens that are added per second, up to burst.
 	rate  float64
 	burst float64
 
--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -66,10 +66,12 @@
 // the fields before the first call. A numeric field of zero selects its default.
 //
 // Read-back compares values byte by byte. A value that is written through a Guard
-// must therefore contain something unique to the write.
+// must therefore contain something unique to the write. Otherwise, the Guard would
+// mistake an equal value of another writer for the result of its own write.
 type Guard struct {
 	Store Store
 	Clock clockwork.Clock
+	// Scope receives the metrics. Nil means that none are reported.
 	Scope tally.Scope
 	// WritesPerSecond and ReadsPerSecond limit the rates of calls and their
 	// bursts. A watch counts as one read.
@@ -80,7 +82,9 @@
 	// circuit breaker. ProbeInterval is the time between probes while it is open.
 	FailureThreshold int
 	ProbeInterval    time.Duration
-	Backoff          Backoff
+	// Backoff computes the delays between attempts. Its Base and Cap have
+	// defaults, too.
+	Backoff Backoff
 
 	once    sync.Once
 	writes  *budget
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -78,7 +78,7 @@
 		Expect(fl.calls).To(Equal(2))
 	})
 
-	It("does not take another writer's value for its own", func() {
+	It("does not mistake another writer's value for its own", func() {
 		fl := &flakyStore{Store: platformfake.New(), script: []error{updateError(platform.Unknown)}}
 		_, _ = fl.Store.Update(ctx, "a", 0, []byte("other"))
 		_, err := newGuard(fl, clockwork.NewRealClock()).For(platform.ClassRecord).Update(ctx, "a", 0, []byte("w1"))
@@ -195,7 +195,7 @@
 	}
 	// serveOnce accepts one connection, sends the given bytes and closes it. It
 	// returns its address.
-	serveOnce := func(answer string) string {
+	serveOnce := func(response string) string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(ln.Close)
@@ -205,7 +205,7 @@
 				return
 			}
 			_, _ = bufio.NewReader(conn).ReadString('\n')
-			_, _ = conn.Write([]byte(answer))
+			_, _ = conn.Write([]byte(response))
 			_ = conn.Close()
 		}()
 		return ln.Addr().String()
@@ -220,8 +220,8 @@
 	})
 
 	DescribeTable("returns Unknown for a write that may have been sent",
-		func(answer string) {
-			err := update(serveOnce(answer))
+		func(response string) {
+			err := update(serveOnce(response))
 			Expect(platform.IsKind(err, platform.Unknown)).To(BeTrue(), "%v", err)
 		},
 		Entry("connection closed without a response", ""),
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -36,6 +36,8 @@
 	Client *fasthttp.Client
 }
 
+// defaultClient does not retry calls, unlike the default of fasthttp. A Guard retries
+// the calls that are safe to repeat.
 var defaultClient = &fasthttp.Client{
 	NoDefaultUserAgentHeader: true,
 	MaxResponseBodySize:      64 << 20,
@@ -71,8 +73,8 @@
 	// fasthttp does not cancel a call with its context, so the goroutine runs on
 	// until the platform responds or watchTimeout passes.
 	select {
-	case an := <-results:
-		return an.listing, an.err
+	case re := <-results:
+		return re.listing, re.err
 	case <-ctx.Done():
 		return Listing{}, ca.newError(Unavailable, ctx.Err())
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -25,7 +25,7 @@
 // Listing is a consistent set of objects at one revision of the store.
 type Listing struct {
 	// Revision is the revision of the store at which the listing was read. A
-	// watch after it returns every later change.
+	// watch that starts after this revision returns every later change.
 	Revision int64    `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
--- a/internal/platform/platformfake/fake.go
+++ b/internal/platform/platformfake/fake.go
@@ -28,15 +28,19 @@
 
 // sharedState is the state that all connections to one store share.
 type sharedState struct {
-	mu        sync.Mutex
-	objects   map[string]platform.Object
+	mu      sync.Mutex
+	objects map[string]platform.Object
+	// events are the changes that watches return, in order of version.
 	events    []platform.Object
 	revision  int64
 	instances []platform.Instance
-	previous  []platform.Instance
-	changed   chan struct{}
-	reads     int
-	writes    int
+	// previous is the list of instances before the last SetInstances, which
+	// StaleLists returns.
+	previous []platform.Instance
+	// changed is closed and replaced when objects change.
+	changed chan struct{}
+	reads   int
+	writes  int
 }
 
 // New returns an empty store.
@@ -183,7 +187,7 @@
 }
 
 // Watch implements platform.Store. It waits until there is a change, a fault fails
-// the call or ctx ends.
+// the call or ctx ends. It has no time limit of its own.
 func (st *Store) Watch(ctx context.Context, prefix string, after int64) (platform.Listing, error) {
 	for {
 		if err := st.inject(ctx, st.sharedState, "watch", prefix); err != nil {
--- a/internal/platform/platformfake/fault.go
+++ b/internal/platform/platformfake/fault.go
@@ -50,11 +50,12 @@
 	delay    time.Duration
 	change   chan struct{}
 	injected int
-	pending  []func()
+	// pending are the writes that LoseSome has delayed and Deliver applies.
+	pending []func()
 }
 
 // SetFault sets the fault of the connection until the next call of SetFault and
-// applies the writes that are delayed so far.
+// applies the writes that LoseSome has delayed so far.
 func (fa *faultInjector) SetFault(fault Fault) {
 	fa.lock.Lock()
 	fa.fault = fault
@@ -92,7 +93,8 @@
 	fa.delay = delay
 }
 
-// Injected returns the number of calls that a fault has affected.
+// Injected returns the number of calls that a fault has affected. Stale lists of
+// instances do not count.
 func (fa *faultInjector) Injected() int {
 	fa.lock.Lock()
 	defer fa.lock.Unlock()
--- a/internal/platform/readback.go
+++ b/internal/platform/readback.go
@@ -49,8 +49,10 @@
 }
 
 // readBack reads the object to find the outcome of a write whose response was
-// lost. The outcome is undecided while the object has its previous version,
-// because the write may still arrive.
+// lost. decided is false while the object has its previous version, because the
+// write may still arrive, and if the object cannot be read. If the object has
+// changed otherwise, its value cannot show whether this write took effect in
+// between, so the final result is of kind Unknown.
 func (cs *classStore) readBack(ctx context.Context, wr conditionalWrite) (decided bool, result error) {
 	ob, err := cs.Get(ctx, wr.key)
 	if err != nil && !IsKind(err, NotFound) {
