--- a/internal/explain/doc.go
+++ b/internal/explain/doc.go
@@ -12,9 +12,8 @@
 // The route requires the role view and responds with an Explanation:
 //
 //	{"request": "4f0c...", "events": [
-//	  {"at": "2026-12-03T22:30:00.1Z", "step": "queued", "zone": "martin-c",
-//	   "instance": "entry-2", "reason": "asked the holder of epoch 3"},
-//	  {"at": "...", "step": "granted", "endpoint": "engine-3", "reason": "by the holder", "waited_ms": 12}]}
+//	  {"at": "2026-12-03T22:30:00.1Z", "step": "queued", "zone": "martin-c", "reason": "no room yet"},
+//	  {"at": "...", "step": "granted", "zone": "martin-c", "endpoint": "engine-3", "reason": "own_zone"}]}
 //
 // Each instance records the requests of its own callers. An instance that has no
 // events of a request queries the other instances. If none of them has any, because
--- a/internal/explain/ring.go
+++ b/internal/explain/ring.go
@@ -21,14 +21,22 @@
 
 // The steps of a request.
 const (
-	Queued   Step = "queued"
-	Waited   Step = "waited"
-	Spilled  Step = "spilled"
-	Granted  Step = "granted"
-	Refused  Step = "refused"
-	Retried  Step = "retried"
+	// Queued means that no endpoint of the zone had room yet.
+	Queued Step = "queued"
+	// Waited, Spilled and Retried are defined but not recorded by any component.
+	Waited  Step = "waited"
+	Spilled Step = "spilled"
+	// Granted means that the request got a place at the endpoint. Reason names
+	// the source of the place.
+	Granted Step = "granted"
+	// Refused means that the allocation refused the request.
+	Refused Step = "refused"
+	Retried Step = "retried"
+	// Released means that the place was released. Reason is the result that was
+	// reported with the release.
 	Released Step = "released"
-	Suspect  Step = "suspect"
+	// Suspect means that the endpoint died while it ran the request.
+	Suspect Step = "suspect"
 	// Answered means that the caller received the refusal in Reason.
 	Answered Step = "answered"
 )
@@ -43,7 +51,9 @@
 	// instance decided itself.
 	Instance string `json:"instance,omitempty"`
 	Reason   string `json:"reason,omitempty"`
-	WaitedMS int64  `json:"waited_ms,omitempty"`
+	// WaitedMS is the time that the request waited before it was refused, in
+	// milliseconds.
+	WaitedMS int64 `json:"waited_ms,omitempty"`
 }
 
 // Explanation is the list of recorded events of one request, in order of time.
