--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -29,7 +29,7 @@
 // The exit codes of the program. The package comment describes them.
 const (
 	ExitDone    = 0
-	ExitFault   = 1
+	ExitFailure = 1
 	ExitUsage   = 2
 	ExitRefused = 3
 	ExitNotDone = 4
@@ -124,6 +124,6 @@
 		return ExitNotDone
 	default:
 		_, _ = fmt.Fprintln(errOut, err)
-		return ExitFault
+		return ExitFailure
 	}
 }
--- a/internal/command/page_test.go
+++ b/internal/command/page_test.go
@@ -131,7 +131,8 @@
 	plan string
 	// printed is the output of the last command.
 	printed string
-	ran     int
+	// ran is the number of commands that were run.
+	ran int
 }
 
 var (
@@ -258,14 +259,14 @@
 		contains string
 	}{
 		{[]string{"status", "--output", "json"}, command.ExitDone, `"in_force"`},
-		{[]string{"plan", filepath.Join(dir, "probe.hujson")}, command.ExitFault, "role plan"},
-		{[]string{"confirm", "x"}, command.ExitFault, "role confirm"},
-		{[]string{"cancel", "x"}, command.ExitFault, "role confirm"},
-		{[]string{"get", "pool"}, command.ExitFault, "allowed are half, zone"},
+		{[]string{"plan", filepath.Join(dir, "probe.hujson")}, command.ExitFailure, "role plan"},
+		{[]string{"confirm", "x"}, command.ExitFailure, "role confirm"},
+		{[]string{"cancel", "x"}, command.ExitFailure, "role confirm"},
+		{[]string{"get", "pool"}, command.ExitFailure, "allowed are half, zone"},
 		{[]string{"get"}, command.ExitUsage, "KIND"},
 		{[]string{"completion", "bash"}, command.ExitDone, "complete -o default"},
 		{[]string{"completion", "fish"}, command.ExitUsage, "allowed is bash"},
-		{[]string{"status", "--token", "nobody"}, command.ExitFault, "belongs to nobody"},
+		{[]string{"status", "--token", "nobody"}, command.ExitFailure, "belongs to nobody"},
 	} {
 		code, printed := run(ca.line...)
 		if code != ca.want || !strings.Contains(printed, ca.contains) {
--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -100,6 +100,7 @@
 func (ax axis) ticks() []float64 {
 	var list []float64
 	if ax.log10 {
+		// The factor tolerates rounding errors of the repeated multiplication.
 		for va := logFloor; va <= ax.top*1.0001; va *= 10 {
 			list = append(list, va)
 		}
