--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -52,7 +52,8 @@
 
 // Build creates the controllers and services from the exported fields.
 func (co *Control) Build() {
-	// Other instances receive the start time in milliseconds and compare it.
+	// Other instances receive the start time in milliseconds and compare it, so
+	// finer digits would make equal times differ.
 	co.Self.Started = co.Self.Started.Truncate(time.Millisecond)
 	co.State = &configuration.State{Holder: co.Holder, Log: co.Log, Scope: co.Scope}
 	co.Members = &member.Table{
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -107,6 +107,9 @@
 	return co
 }
 
+// A change must be in force on all instances within the target in each size of
+// fleet. The traffic per instance, extrapolated to targetInstances, must stay
+// within its limit.
 func TestCostBySize(t *testing.T) {
 	var list []costs
 	for _, instances := range []int{7, 20, 40} {
--- a/internal/control/counter.go
+++ b/internal/control/counter.go
@@ -22,7 +22,8 @@
 }
 
 // Acquire implements admission.Granter. It counts a grant first and then checks
-// it against the configuration in force. If InFlight reports zero for a drained
+// it against the configuration in force. It releases a grant that is no longer
+// allowed and tries another endpoint. If InFlight reports zero for a drained
 // endpoint after the drain is in force, no grant that was decided on an older
 // configuration is used later.
 func (co *Counter) Acquire(ctx context.Context, re admission.Request) (*admission.Grant, error) {
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -13,18 +13,27 @@
 )
 
 // history observes every head that the platform accepts and the configuration in
-// force on each instance, and records violations of the guarantees on them.
+// force on each instance. It records violations of these guarantees: a version
+// refers to one configuration, a step of a plan is applied once, and an instance
+// neither reverts to an older version nor reports a newer one than it serves.
 type history struct {
 	fl *fleet
 
-	mu           sync.Mutex
-	violations   []string
-	shards       map[int64][]string
-	moves        map[string]configuration.Move
+	mu         sync.Mutex
+	violations []string
+	// shards are the hashes of the shards by version.
+	shards map[int64][]string
+	// moves holds the last move of each plan by its ID.
+	moves map[string]configuration.Move
+	// stepVersions holds the version that recorded each state of a move, that is
+	// the plan, its number of applied steps and whether it is done.
 	stepVersions map[string]int64
-	begun        []string
-	latest       int64
-	inForce      map[string]int64
+	// begun lists the IDs of the plans whose first step was applied, in order.
+	begun []string
+	// latest is the highest version of a head.
+	latest int64
+	// inForce holds the last sampled version by instance name.
+	inForce map[string]int64
 }
 
 func newHistory(fl *fleet) *history {
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -19,7 +19,8 @@
 
 // action is one step of a drawn scenario.
 type action struct {
-	// Kind is one of kinds. A and B select the instances, zones and intents.
+	// Kind is one of kinds. A and B select the instances, zones, intents and
+	// store faults. B also selects the time to wait after the action.
 	Kind string
 	A, B int
 }
@@ -212,10 +213,13 @@
 	}
 }
 
+// Random sequences of concurrent plans, store faults, partitions, restored
+// backups, and instances that are killed or started must not violate the
+// guarantees that history and finish check.
 func TestMachine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		actions := drawActions(rt)
-		var faults []string
+		var violations []string
 		synctest.Test(t, func(t *testing.T) {
 			fl := newFleet(t, 6, 8)
 			ma := &machine{fleet: fl, hi: newHistory(fl), confirmed: make(map[string]bool)}
@@ -227,12 +231,12 @@
 				ma.perform(ac)
 			}
 			ma.finish()
-			faults = ma.violations
+			violations = ma.violations
 			cancel()
 			fl.stop()
 		})
-		if len(faults) > 0 {
-			rt.Fatalf("%d violations: %q", len(faults), faults)
+		if len(violations) > 0 {
+			rt.Fatalf("%d violations: %q", len(violations), violations)
 		}
 	})
 }
--- a/internal/control/move_test.go
+++ b/internal/control/move_test.go
@@ -218,7 +218,7 @@
 			t.Errorf("%s is %s while its zone is isolated", me.Name, me.State)
 		}
 		in := plan.CountInForce(2, fl.nodes[0].Reports(t.Context()))
-		if in.On != 5 || in.Of != 7 || len(in.Missing) != 2 {
+		if in.Count != 5 || in.Total != 7 || len(in.Missing) != 2 {
 			t.Errorf("unexpected count: %v", in)
 		}
 		for no, want := range map[*node]string{fl.nodes[0]: "dalseo", fl.nodes[1]: "buk-gu gyeongsan suseong"} {
--- a/internal/intent/doc.go
+++ b/internal/intent/doc.go
@@ -1,6 +1,7 @@
 // Package intent decodes intent files. An intent is an operator's request for
 // changes to the fleet, written as JSON with comments: a list of actions on
-// halves, zones, teams, services, endpoints and instances.
+// halves, zones, teams, services, endpoints and instances. The halves are the two
+// organisations that the deployment is split into.
 //
 // # Usage
 //
--- a/internal/intent/target.go
+++ b/internal/intent/target.go
@@ -106,6 +106,8 @@
 	}
 }
 
+// applyState applies an action that changes the state of a zone or of an
+// endpoint, or that removes an endpoint.
 func (re *resolver) applyState(ac Action) error {
 	switch {
 	case ac.TakeZoneOut != "":
@@ -134,8 +136,9 @@
 // change returns a configuration with one change applied.
 type change func(*kind.Configuration) (*kind.Configuration, error)
 
-// changeBoth applies a change that need not wait for an endpoint to be idle. It
-// returns err, the error of preparing the change, if that is not nil.
+// changeBoth applies a change that need not wait for an endpoint to be idle to
+// both Interim and Final. It returns err, the error of preparing the change, if
+// that is not nil.
 func (re *resolver) changeBoth(err error, ch change) error {
 	if err != nil {
 		return err
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -37,7 +37,7 @@
 	// /status.
 	Instance string
 	Zone     string
-	// Routes are the further routes by method and path, such as "GET /fleet".
+	// Routes are the other routes, keyed by method and path, such as "GET /fleet".
 	Routes map[string]Route
 
 	server fasthttp.Server
--- a/internal/plan/await.go
+++ b/internal/plan/await.go
@@ -10,12 +10,12 @@
 	"filbertstall.example/filbertstall/internal/peer"
 )
 
-// InForce tells on how many instances a configuration version is in force: On
-// of the Of instances that were asked.
+// InForce tells on how many instances a configuration version is in force. Total
+// is the number of instances that were asked.
 type InForce struct {
 	Version int64 `json:"version"`
-	On      int   `json:"on"`
-	Of      int   `json:"of"`
+	Count   int   `json:"on"`
+	Total   int   `json:"of"`
 	// Missing lists the instances on which the version is not in force, each with
 	// the reason.
 	Missing []string `json:"missing,omitempty"`
@@ -24,7 +24,7 @@
 // String returns a text such as "version 12 in force on 6 of 7; not on entry-4
 // (suspected, no answer)".
 func (in InForce) String() string {
-	text := fmt.Sprintf("version %d in force on %d of %d", in.Version, in.On, in.Of)
+	text := fmt.Sprintf("version %d in force on %d of %d", in.Version, in.Count, in.Total)
 	if len(in.Missing) > 0 {
 		text += "; not on " + strings.Join(in.Missing, ", ")
 	}
@@ -34,7 +34,7 @@
 // CountInForce counts the instances that answer with the version or a higher
 // one.
 func CountInForce(version int64, answers []Answer) InForce {
-	in := InForce{Version: version, Of: len(answers)}
+	in := InForce{Version: version, Total: len(answers)}
 	for _, an := range answers {
 		switch {
 		case an.Err != nil:
@@ -42,7 +42,7 @@
 		case an.Report.Standing.Version < version:
 			in.Missing = append(in.Missing, fmt.Sprintf("%s (has version %d)", an.Member.Name, an.Report.Standing.Version))
 		default:
-			in.On++
+			in.Count++
 		}
 	}
 	return in
@@ -51,7 +51,7 @@
 func (ex *Executor) awaitInForce(ctx context.Context, st *Step) bool {
 	in := CountInForce(st.Version, ex.Fleet.Reports(ctx))
 	st.Note = in.String()
-	return in.On == in.Of
+	return in.Count == in.Total
 }
 
 // versionBefore returns the configuration version of the last change before the
@@ -85,10 +85,10 @@
 		return slices.Contains(st.Endpoints, endpoint)
 	})
 	st.Note = fmt.Sprintf("%d requests left", requests)
-	if coverage.On < coverage.Of {
+	if coverage.Count < coverage.Total {
 		st.Note += "; unknown on " + strings.Join(coverage.Missing, ", ")
 	}
-	return requests == 0 && coverage.On == coverage.Of
+	return requests == 0 && coverage.Count == coverage.Total
 }
 
 func (ex *Executor) awaitZonesIdle(ctx context.Context, re record, ix int, st *Step) bool {
@@ -98,7 +98,7 @@
 		return found && slices.Contains(st.Zones, en.Zone)
 	})
 	st.Note = fmt.Sprintf("%d requests left", requests)
-	if requests == 0 && coverage.On == coverage.Of {
+	if requests == 0 && coverage.Count == coverage.Total {
 		return true
 	}
 	if ex.Clock.Since(st.Started) > zonesIdleTimeout {
--- a/internal/plan/cancel.go
+++ b/internal/plan/cancel.go
@@ -46,7 +46,7 @@
 		}
 		se.count(CountCanceled)
 		if err := se.finalize(ctx, re.Plan); err != nil {
-			se.Log.Warn().Err(err).Str("plan", id).Msg("plan: locks of the canceled plan were not released; an executor will retry")
+			se.Log.Warn().Err(err).Str("plan", id).Msg("plan: locks of the canceled plan were not released and its drains not reverted; an executor will retry")
 		}
 		return re.Plan, nil
 	}
--- a/internal/plan/doc.go
+++ b/internal/plan/doc.go
@@ -1,13 +1,14 @@
 // Package plan turns an intent into a sequence of steps and executes them once
 // an operator has confirmed the plan.
 //
-// A plan is stored as one object in the platform. Confirming it writes its
-// first step and a move into the head of the configuration by one conditional
-// update. If two plans have the same base version, one of them succeeds and the
-// other is refused. The head records how many steps of a plan have been applied,
-// and the plan object records the state of each step. The instance
-// that holds the claim on a plan executes it. Every step is idempotent, so an
-// instance can be replaced at any point.
+// A plan is stored as one object in the platform. The head of the configuration
+// is the object that names its current version. Confirming a plan writes its
+// first step and a move, which is the entry of the plan in the head, by one
+// conditional update. If two plans have the same base version, one of them
+// succeeds and the other is refused. The move records how many steps of the plan
+// have been applied, and the plan object records the state of each step. The
+// instance that holds the claim on a plan executes it. Every step is idempotent,
+// so an instance can be replaced at any point.
 //
 // # Usage
 //
--- a/internal/plan/executor.go
+++ b/internal/plan/executor.go
@@ -17,8 +17,8 @@
 	// which asks every instance at each poll.
 	pollIntervalPerMember = 10 * time.Millisecond
 	// claimDuration is the time after which the claim on a plan expires unless its
-	// owner renews it. Two instances may execute a plan at the same time, since
-	// each write is conditional and each step is idempotent.
+	// owner renews it. Two instances that execute a plan at the same time do no
+	// harm, since each write is conditional and each step is idempotent.
 	claimDuration = 6 * time.Second
 	// executorCandidates is the number of instances that are eligible to claim a
 	// plan.
@@ -34,9 +34,9 @@
 	*Service
 	// Self is the name of this instance.
 	Self string
-	// Candidate reports whether this instance is among the first limit instances
-	// in the order that is derived from the ID of a plan. If it is nil, this
-	// instance is a candidate for every plan.
+	// Candidate reports whether this instance is among the first limit live
+	// instances in the order of rendezvous hashing by the ID of a plan. If it is
+	// nil, this instance is a candidate for every plan.
 	Candidate func(id string, limit int) bool
 }
 
@@ -57,8 +57,9 @@
 	return nil
 }
 
-// advanceAll executes the steps of all running plans that need not wait. It logs
-// errors, and the next poll tries again.
+// advanceAll executes the steps that need not wait, for all running plans for
+// which this instance is a candidate. It logs errors, and the next poll tries
+// again.
 func (ex *Executor) advanceAll(ctx context.Context) {
 	bu := ex.State.Bundle()
 	if bu == nil {
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -20,8 +20,8 @@
 	// Done means that all steps have finished.
 	Done State = "done"
 	// Refused means that the confirmation failed because the configuration had
-	// changed since the plan was made, or because a running plan holds one of
-	// its objects. Nothing was changed.
+	// changed since the plan was made, because a running plan locks one of its
+	// objects, or because the plan was being canceled. Nothing was changed.
 	Refused State = "refused"
 	// Canceled means that an operator canceled the plan.
 	Canceled State = "canceled"
--- a/internal/plan/reason.go
+++ b/internal/plan/reason.go
@@ -3,7 +3,8 @@
 // Reason is a label value of the metric plan_events.
 type Reason string
 
-// The values of the label. The Count constants count outcomes of plans.
+// The values of the label. The Count constants count the plans that reached a
+// state.
 const (
 	CountPlanned   Reason = "planned"
 	CountConfirmed Reason = "confirmed"
--- a/internal/plan/record.go
+++ b/internal/plan/record.go
@@ -23,7 +23,7 @@
 	object int64
 }
 
-// load reads a plan from the platform. op is the operation for the error.
+// load reads a plan from the platform. op names the operation in errors.
 func (se *Service) load(ctx context.Context, op, id string) (record, error) {
 	ob, err := se.Store.Get(ctx, Prefix+id)
 	if platform.IsKind(err, platform.NotFound) {
--- a/internal/plan/service.go
+++ b/internal/plan/service.go
@@ -20,8 +20,8 @@
 )
 
 // Report is the status that an instance returns to the other instances. Started
-// is the start time of the instance, and Standing is the configuration that it
-// has in force.
+// is the start time of the instance. Standing holds the configuration version
+// that it has in force and the one that the platform last showed it.
 type Report struct {
 	Name     string    `json:"name"`
 	Zone     string    `json:"zone"`
@@ -83,7 +83,8 @@
 // Make builds a plan from the text of an intent file and stores it in the
 // platform. It does not change the configuration. author is the team of the
 // operator, and file names the intent file in errors. The error is of kind
-// Invalid if the intent is wrong and of kind Unavailable if the plan cannot be
+// Invalid if the intent is wrong. It is of kind Unavailable if the configuration
+// cannot be read, or is older than the one in force, or if the plan cannot be
 // stored.
 func (se *Service) Make(ctx context.Context, author, file string, data []byte) (Plan, error) {
 	in, err := intent.Parse(file, data)
--- a/internal/plan/sweep.go
+++ b/internal/plan/sweep.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// sweepInterval is the time between two sweeps. A shard is removed if it was
-	// unreferenced at two consecutive sweeps, because a publisher may have found
-	// the shard but not referenced it yet. The interval is much longer than a
-	// publisher takes for this.
+	// sweepInterval is the time between two sweeps. A shard is removed only if it
+	// was unreferenced at two consecutive sweeps and not written in between,
+	// because a publisher writes the shards before the head that references them.
+	// The interval is much longer than a publisher takes for this.
 	sweepInterval = 10 * time.Minute
 	// planRetention is how long plans in a terminal state are kept.
 	planRetention = 30 * 24 * time.Hour
@@ -36,7 +36,8 @@
 // Name implements controller.Controller.
 func (sw *Sweeper) Name() string { return "sweep" }
 
-// Run sweeps at every sweepInterval until ctx ends. It always returns nil.
+// Run sweeps at every sweepInterval at which Elected reports true, until ctx
+// ends. It always returns nil.
 func (sw *Sweeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
@@ -55,9 +56,11 @@
 	return nil
 }
 
-// Sweep removes the shards that were unreferenced at the last sweep and still
-// are, and the plans that are past planRetention. It removes nothing if the
-// platform cannot be read or shows an older configuration than the one in force.
+// Sweep removes the shards that were unreferenced at the last sweep, still are,
+// and have not been written since. It also removes the plans that are past
+// planRetention. Sweep returns an error and removes nothing if this instance is
+// not settled, or if the platform cannot be read or shows an older configuration
+// than the one in force.
 func (sw *Sweeper) Sweep(ctx context.Context) error {
 	shards, err := sw.Store.List(ctx, configuration.ShardPrefix)
 	if err != nil {
