--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -18,6 +18,7 @@
 	"filbertstall.example/filbertstall/internal/endpoint"
 )
 
+// bootID identifies this process in load reports.
 var bootID = newBootID()
 
 func newBootID() string {
@@ -26,113 +27,130 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// EngineOptions describes an engine stand-in.
+// EngineOptions configures an engine stand-in.
 type EngineOptions struct {
 	Name string
-	// Seed draws the lengths of generations that state none.
+	// Seed determines the lengths of generations whose request states no
+	// max_tokens.
 	Seed uint64
-	// MemoryTokens is the decode memory.
+	// MemoryTokens is the size of the KV-cache in tokens.
 	MemoryTokens int
-	// Sequences and ColdSequences bound what runs at once, warm and cold.
+	// Sequences is the maximum batch size. A cold engine with more than
+	// ColdSequences running generations is slow.
 	Sequences     int
 	ColdSequences int
-	// WarmTokens is how many tokens a cold engine makes until it is warm.
+	// WarmTokens is the number of tokens that a cold engine generates until it is
+	// warm.
 	WarmTokens int64
-	// StepBase and StepPerSequence are the time of one decode step.
+	// StepBase is the time of one decode step, to which StepPerSequence is added
+	// for each running generation.
 	StepBase        time.Duration
 	StepPerSequence time.Duration
-	// ReportLag is how far the load report lags.
+	// ReportLag is the interval at which the load report is refreshed, and so its
+	// maximum age.
 	ReportLag time.Duration
-	// Grace is how long a generation without a reader goes on.
+	// Grace is how long a generation continues without a reader.
 	Grace time.Duration
-	// IgnoreFencing takes orders with an old fencing number.
+	// IgnoreFencing accepts orders with an outdated fencing token.
 	IgnoreFencing bool
 }
 
 const (
-	// coldFactor slows the steps of a cold engine that has more than it bears.
-	coldFactor = 10
-	// prefixTokens is the length of a prompt prefix that is cached.
+	// coldSlowdown multiplies the step time of a cold engine with more than
+	// ColdSequences running generations.
+	coldSlowdown = 10
+	// prefixTokens is the length of the cached prefix of a prompt, in tokens of
+	// four bytes. Shorter prompts are not cached.
 	prefixTokens = 64
-	// keptPrefixes bounds the prefix cache.
-	keptPrefixes = 256
-	// medianLength and lengthSigma shape the drawn lengths, log-normal.
+	// maxPrefixes is the size of the prefix cache.
+	maxPrefixes = 256
+	// medianLength and lengthSigma are the parameters of the log-normal
+	// distribution of random answer lengths, and maxLength is their upper bound.
 	medianLength = 200
 	lengthSigma  = 1.0
 	maxLength    = 32768
-	// idleWait is how long an engine without work sleeps.
-	idleWait = 2 * time.Millisecond
+	// idlePoll is how long an engine without running generations sleeps.
+	idlePoll = 2 * time.Millisecond
 )
 
-// Engine is a model engine with continuous batching.
+// Engine is a model engine with continuous batching. Use NewEngine to create it.
 type Engine struct {
 	base
 	op EngineOptions
 
-	state      sync.Mutex
-	running    []*generation
-	waiting    []*generation
-	known      map[string]*generation
-	prefixes   map[uint64]int64
-	cache      []endpoint.CacheEvent
-	report     endpoint.Load
-	reportedAt time.Time
-	started    int64
-	preempted  int64
-	overloads  int64
-	warmth     int64
-	cold       bool
-	fencing    int64
-	orders     []endpoint.Order
+	// stateMu protects the following fields.
+	stateMu sync.Mutex
+	running []*generation
+	waiting []*generation
+	// generations has all generations that can be resumed, by id.
+	generations   map[string]*generation
+	prefixes      map[uint64]int64
+	cacheLog      []endpoint.CacheEvent
+	report        endpoint.Load
+	reportedAt    time.Time
+	started       int64
+	preempted     int64
+	coldOverloads int64
+	// warmupTokens counts the tokens generated since the engine turned cold.
+	warmupTokens int64
+	cold         bool
+	// fencing is the highest fencing token received with an order.
+	fencing int64
+	orders  []endpoint.Order
 }
 
-// generation is one request; token k is a function of the seed, so no text is
-// kept.
+// generation is one request. The text of each token is derived from the seed and
+// its offset, so no text is stored.
 type generation struct {
 	id       string
 	seed     uint64
 	priority int
-	prompt   int
-	length   int64
-	done     int64
-	held     int
-	readers  int
-	left     time.Time
-	canceled bool
-	chat     bool
-	news     chan struct{}
+	// prompt is the length of the prompt, length that of the answer and done the
+	// number of generated tokens, all in tokens.
+	prompt int
+	length int64
+	done   int64
+	// heldTokens is the KV-cache memory in use, zero while waiting.
+	heldTokens int
+	readers    int
+	// readersChangedAt is the time at which a reader last came or left.
+	readersChangedAt time.Time
+	canceled         bool
+	chat             bool
+	// changed is closed and replaced at each new token.
+	changed chan struct{}
 }
 
-// NewEngine returns an engine and starts its steps.
+// NewEngine returns a cold engine and starts its decode loop, which never ends.
 func NewEngine(op EngineOptions) *Engine {
-	en := &Engine{op: op, known: make(map[string]*generation), prefixes: make(map[uint64]int64), cold: true}
+	en := &Engine{op: op, generations: make(map[string]*generation), prefixes: make(map[uint64]int64), cold: true}
 	en.onCold = en.turnCold
-	go en.steps()
+	go en.runSteps()
 	return en
 }
 
 func (en *Engine) turnCold() {
-	en.state.Lock()
-	defer en.state.Unlock()
-	en.cold, en.warmth = true, 0
+	en.stateMu.Lock()
+	defer en.stateMu.Unlock()
+	en.cold, en.warmupTokens = true, 0
 	en.prefixes = make(map[uint64]int64)
 }
 
-// engineLoad adds what only tests may see to the published report.
+// engineLoad extends the published load report with information for tests.
 type engineLoad struct {
 	endpoint.Load
 	ColdOverloads int64            `json:"cold_overloads"`
 	Orders        []endpoint.Order `json:"orders,omitempty"`
 }
 
-// Load implements Handler; it does not lag.
+// Load implements Handler. Unlike the published report, it is always current.
 func (en *Engine) Load() any {
-	en.state.Lock()
-	defer en.state.Unlock()
-	return engineLoad{Load: en.now(), ColdOverloads: en.overloads, Orders: en.orders}
+	en.stateMu.Lock()
+	defer en.stateMu.Unlock()
+	return engineLoad{Load: en.currentLoad(), ColdOverloads: en.coldOverloads, Orders: en.orders}
 }
 
-func (en *Engine) now() endpoint.Load {
+func (en *Engine) currentLoad() endpoint.Load {
 	return endpoint.Load{
 		BootID: bootID, Running: len(en.running), Waiting: len(en.waiting), StartedTotal: en.started,
 		PreemptedTotal: en.preempted, MemoryUsed: en.memoryUsed(), MemoryTotal: en.op.MemoryTokens,
@@ -142,7 +160,7 @@
 func (en *Engine) memoryUsed() int {
 	used := 0
 	for _, ge := range en.running {
-		used += ge.held
+		used += ge.heldTokens
 	}
 	return used
 }
@@ -152,44 +170,47 @@
 	path := string(ctx.Path())
 	switch {
 	case ctx.IsPost() && (path == "/v1/completions" || path == "/v1/chat/completions"):
-		en.generate(ctx)
+		en.serveGenerate(ctx)
 	case path == "/load":
-		en.lagged(ctx)
+		en.serveLoad(ctx)
 	case path == "/cache/events":
-		en.cacheEvents(ctx)
+		en.serveCacheEvents(ctx)
 	case path == "/orders":
-		en.order(ctx)
+		en.serveOrder(ctx)
 	case strings.HasPrefix(path, "/v1/generations/"):
-		en.generationCall(ctx, strings.TrimPrefix(path, "/v1/generations/"))
+		en.serveGeneration(ctx, strings.TrimPrefix(path, "/v1/generations/"))
 	default:
 		ctx.Error("no such path", http.StatusNotFound)
 	}
 }
 
-func (en *Engine) lagged(ctx *fasthttp.RequestCtx) {
-	en.state.Lock()
+// serveLoad answers with the load report, which is up to ReportLag old.
+func (en *Engine) serveLoad(ctx *fasthttp.RequestCtx) {
+	en.stateMu.Lock()
 	if time.Since(en.reportedAt) >= en.op.ReportLag {
-		en.report, en.reportedAt = en.now(), time.Now()
+		en.report, en.reportedAt = en.currentLoad(), time.Now()
 	}
 	lo := en.report
-	en.state.Unlock()
+	en.stateMu.Unlock()
 	writeJSON(ctx, lo)
 }
 
-func (en *Engine) cacheEvents(ctx *fasthttp.RequestCtx) {
+func (en *Engine) serveCacheEvents(ctx *fasthttp.RequestCtx) {
 	after := int64(ctx.QueryArgs().GetUintOrZero("after"))
 	list := []endpoint.CacheEvent{}
-	en.state.Lock()
-	for _, ev := range en.cache {
+	en.stateMu.Lock()
+	for _, ev := range en.cacheLog {
 		if ev.Sequence > after {
 			list = append(list, ev)
 		}
 	}
-	en.state.Unlock()
+	en.stateMu.Unlock()
 	writeJSON(ctx, list)
 }
 
-func (en *Engine) order(ctx *fasthttp.RequestCtx) {
+// serveOrder records an order, and refuses it if its fencing token is older than
+// the newest one received.
+func (en *Engine) serveOrder(ctx *fasthttp.RequestCtx) {
 	fencing, err := strconv.ParseInt(string(ctx.Request.Header.Peek(endpoint.FencingHeader)), 10, 64)
 	var or endpoint.Order
 	if err == nil {
@@ -199,8 +220,8 @@
 		ctx.Error(err.Error(), http.StatusBadRequest)
 		return
 	}
-	en.state.Lock()
-	defer en.state.Unlock()
+	en.stateMu.Lock()
+	defer en.stateMu.Unlock()
 	if fencing < en.fencing && !en.op.IgnoreFencing {
 		ctx.Error("old fencing number", http.StatusPreconditionFailed)
 		return
@@ -209,14 +230,14 @@
 	en.orders = append(en.orders, or)
 }
 
-// completion is the part of the OpenAI request that the stand-in reads.
+// completion has the fields of an OpenAI request that the stand-in uses.
 type completion struct {
 	Prompt    string          `json:"prompt"`
 	Messages  json.RawMessage `json:"messages"`
 	MaxTokens int64           `json:"max_tokens"`
 }
 
-func (en *Engine) generate(ctx *fasthttp.RequestCtx) {
+func (en *Engine) serveGenerate(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.Request.Header.Peek(endpoint.GenerationHeader))
 	var co completion
 	if err := json.Unmarshal(ctx.PostBody(), &co); err != nil || id == "" {
@@ -225,10 +246,12 @@
 	}
 	en.record(id, string(ctx.Path()), headerInt(ctx, endpoint.ForcedPrefixHeader))
 	en.crashOn(ctx.PostBody())
-	ge := en.admit(ctx, id, co)
+	ge := en.joinOrQueue(ctx, id, co)
 	en.stream(ctx, ge, headerInt(ctx, endpoint.ForcedPrefixHeader))
 }
 
+// headerInt returns the integer value of a request header, or 0 if it is missing
+// or malformed.
 func headerInt(ctx *fasthttp.RequestCtx, name string) int64 {
 	value, err := strconv.ParseInt(string(ctx.Request.Header.Peek(name)), 10, 64)
 	if err != nil {
@@ -237,8 +260,8 @@
 	return value
 }
 
-// admit joins the running generation of that id or queues a new one.
-func (en *Engine) admit(ctx *fasthttp.RequestCtx, id string, co completion) *generation {
+// joinOrQueue returns the existing generation with that id, or queues a new one.
+func (en *Engine) joinOrQueue(ctx *fasthttp.RequestCtx, id string, co completion) *generation {
 	text := co.Prompt + string(co.Messages)
 	seed := uint64(headerInt(ctx, endpoint.SeedHeader))
 	length := co.MaxTokens
@@ -246,24 +269,25 @@
 		rn := randv2.New(randv2.NewPCG(en.op.Seed, seed))
 		length = min(maxLength, 1+int64(medianLength*math.Exp(lengthSigma*rn.NormFloat64())))
 	}
-	en.state.Lock()
-	defer en.state.Unlock()
-	if ge, found := en.known[id]; found {
+	en.stateMu.Lock()
+	defer en.stateMu.Unlock()
+	if ge, found := en.generations[id]; found {
 		return ge
 	}
 	ge := &generation{
 		id: id, seed: seed, priority: int(headerInt(ctx, endpoint.PriorityHeader)), prompt: len(text)/4 + 1,
-		length: length, done: headerInt(ctx, endpoint.ForcedPrefixHeader), left: time.Now(),
-		chat: strings.Contains(string(ctx.Path()), "chat"), news: make(chan struct{}),
+		length: length, done: headerInt(ctx, endpoint.ForcedPrefixHeader), readersChangedAt: time.Now(),
+		chat: strings.Contains(string(ctx.Path()), "chat"), changed: make(chan struct{}),
 	}
-	en.known[id] = ge
+	en.generations[id] = ge
 	en.waiting = append(en.waiting, ge)
-	en.remember(text)
+	en.cachePrefix(text)
 	return ge
 }
 
-// remember puts the prompt's prefix into the cache and publishes the event.
-func (en *Engine) remember(text string) {
+// cachePrefix adds the prefix of a prompt to the cache, evicts others if the cache
+// is full, and publishes the events.
+func (en *Engine) cachePrefix(text string) {
 	if len(text) < prefixTokens*4 {
 		return
 	}
@@ -274,33 +298,36 @@
 		return
 	}
 	for old := range en.prefixes {
-		if len(en.prefixes) < keptPrefixes {
+		if len(en.prefixes) < maxPrefixes {
 			break
 		}
 		delete(en.prefixes, old)
-		en.publish(endpoint.CacheEvent{Prefix: old, Evicted: true})
+		en.publishCacheEvent(endpoint.CacheEvent{Prefix: old, Evicted: true})
 	}
 	en.prefixes[prefix] = en.started
-	en.publish(endpoint.CacheEvent{Prefix: prefix})
+	en.publishCacheEvent(endpoint.CacheEvent{Prefix: prefix})
 }
 
-func (en *Engine) publish(ev endpoint.CacheEvent) {
-	ev.Sequence = int64(len(en.cache)) + 1
-	en.cache = append(en.cache, ev)
+func (en *Engine) publishCacheEvent(ev endpoint.CacheEvent) {
+	ev.Sequence = int64(len(en.cacheLog)) + 1
+	en.cacheLog = append(en.cacheLog, ev)
 }
 
-func (en *Engine) generationCall(ctx *fasthttp.RequestCtx, rest string) {
+// serveGeneration resumes the event stream of a generation at an offset, or cancels
+// the generation on DELETE. With the header for unread generations, it refuses to
+// cancel a generation that has a reader.
+func (en *Engine) serveGeneration(ctx *fasthttp.RequestCtx, rest string) {
 	id, events := strings.CutSuffix(rest, "/events")
-	en.state.Lock()
-	ge, found := en.known[id]
-	spared := found && ge.readers > 0 && len(ctx.Request.Header.Peek(endpoint.UnreadHeader)) > 0
-	if found && ctx.IsDelete() && !spared {
+	en.stateMu.Lock()
+	ge, found := en.generations[id]
+	hasReader := found && ge.readers > 0 && len(ctx.Request.Header.Peek(endpoint.UnreadHeader)) > 0
+	if found && ctx.IsDelete() && !hasReader {
 		ge.canceled = true
-		delete(en.known, id)
+		delete(en.generations, id)
 	}
-	en.state.Unlock()
+	en.stateMu.Unlock()
 	switch {
-	case ctx.IsDelete() && spared:
+	case ctx.IsDelete() && hasReader:
 		ctx.Error("somebody reads the generation", http.StatusConflict)
 	case ctx.IsDelete():
 	case !found || !events:
@@ -312,50 +339,54 @@
 	}
 }
 
-// steps runs decode steps for ever.
-func (en *Engine) steps() {
+// runSteps executes decode steps in an endless loop.
+func (en *Engine) runSteps() {
 	for {
-		en.state.Lock()
+		en.stateMu.Lock()
 		wait := en.step()
-		en.state.Unlock()
+		en.stateMu.Unlock()
 		time.Sleep(wait)
 	}
 }
 
+// step executes one decode step and returns its duration. The caller holds stateMu.
 func (en *Engine) step() time.Duration {
-	en.drop()
-	en.batch()
+	en.dropFinished()
+	en.fillBatch()
 	if len(en.running) == 0 {
-		return idleWait
+		return idlePoll
 	}
 	for len(en.running) > 1 && en.memoryUsed()+len(en.running) > en.op.MemoryTokens {
 		en.preempt()
 	}
 	for _, ge := range en.running {
 		ge.done++
-		ge.held++
-		close(ge.news)
-		ge.news = make(chan struct{})
+		ge.heldTokens++
+		close(ge.changed)
+		ge.changed = make(chan struct{})
 	}
 	wait := en.op.StepBase + time.Duration(len(en.running))*en.op.StepPerSequence
-	en.warmth += int64(len(en.running))
+	en.warmupTokens += int64(len(en.running))
 	if en.cold && len(en.running) > en.op.ColdSequences {
-		en.overloads++
-		wait *= coldFactor
+		en.coldOverloads++
+		wait *= coldSlowdown
 	}
-	if en.warmth >= en.op.WarmTokens {
+	if en.warmupTokens >= en.op.WarmTokens {
 		en.cold = false
 	}
 	return wait
 }
 
-// drop removes generations that are over, cancelled or without a reader.
-func (en *Engine) drop() {
+// dropFinished removes generations from the batch and the queue that are complete,
+// canceled or without a reader for longer than Grace. It also forgets all
+// generations without a reader for longer than Grace, which callers can then no
+// longer resume.
+func (en *Engine) dropFinished() {
 	keep := func(list []*generation) []*generation {
 		kept := list[:0]
 		for _, ge := range list {
-			lonely := ge.readers == 0 && time.Since(ge.left) > en.op.Grace
-			if ge.done < ge.length && !ge.canceled && !lonely {
+			abandoned := ge.readers == 0 && time.Since(ge.readersChangedAt) > en.op.Grace
+			if ge.done < ge.length && !ge.canceled && !abandoned {
 				kept = append(kept, ge)
 			}
 		}
@@ -363,15 +394,16 @@
 	}
 	en.running = keep(en.running)
 	en.waiting = keep(en.waiting)
-	for id, ge := range en.known {
-		if ge.readers == 0 && time.Since(ge.left) > en.op.Grace {
-			delete(en.known, id)
+	for id, ge := range en.generations {
+		if ge.readers == 0 && time.Since(ge.readersChangedAt) > en.op.Grace {
+			delete(en.generations, id)
 		}
 	}
 }
 
-// batch moves waiting generations into the batch, highest priority first.
-func (en *Engine) batch() {
+// fillBatch moves waiting generations into the batch, highest priority first, while
+// sequences and memory allow.
+func (en *Engine) fillBatch() {
 	for len(en.waiting) > 0 && len(en.running) < en.op.Sequences {
 		best := 0
 		for ix, ge := range en.waiting {
@@ -385,13 +417,14 @@
 			return
 		}
 		en.waiting = append(en.waiting[:best], en.waiting[best+1:]...)
-		ge.held = need
+		ge.heldTokens = need
 		en.running = append(en.running, ge)
 		en.started++
 	}
 }
 
-// preempt takes the newest generation of the lowest priority out of the batch.
+// preempt moves the newest generation of the lowest priority from the batch to the
+// head of the queue and frees its memory.
 func (en *Engine) preempt() {
 	worst := 0
 	for ix, ge := range en.running {
@@ -401,7 +434,7 @@
 	}
 	ge := en.running[worst]
 	en.running = append(en.running[:worst], en.running[worst+1:]...)
-	ge.held = 0
+	ge.heldTokens = 0
 	en.waiting = append([]*generation{ge}, en.waiting...)
 	en.preempted++
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -15,34 +15,41 @@
 )
 
 const (
-	// watchWait is how long a watch waits for a change.
-	watchWait = 20 * time.Second
-	// keptEvents is how many changes a watch can go back.
-	keptEvents = 65536
+	// watchTimeout is how long a watch request waits for a change.
+	watchTimeout = 20 * time.Second
+	// minEvents is the number of latest changes that watches can always read.
+	// Older ones are discarded at twice this number.
+	minEvents = 65536
 )
 
-// Platform stands in for the platform's object API.
+// Platform is a stand-in for the platform: its object store with versions and
+// watches, and its list of instances. Use NewPlatform to create it.
 type Platform struct {
 	base
-	// ListLag is how far the list of instances lags.
+	// ListLag is the delay until a change of the list of instances is visible.
 	ListLag time.Duration
 
-	state    sync.Mutex
+	// stateMu protects the following fields.
+	stateMu  sync.Mutex
 	objects  map[string]platform.Object
 	events   []platform.Object
 	revision int64
-	changed  chan struct{}
-	lists    []datedList
-	reads    int64
-	writes   int64
+	// changed is closed and replaced at each write.
+	changed chan struct{}
+	// lists has all lists of instances, oldest first.
+	lists  []instanceList
+	reads  int64
+	writes int64
 }
 
-type datedList struct {
+// instanceList is a list of instances and the time at which it was received.
+type instanceList struct {
 	at   time.Time
 	list []platform.Instance
 }
 
-// NewPlatform returns an empty platform.
+// NewPlatform returns a platform without objects and instances. The lag sets
+// ListLag.
 func NewPlatform(lag time.Duration) *Platform {
 	return &Platform{ListLag: lag, objects: make(map[string]platform.Object), changed: make(chan struct{})}
 }
@@ -56,8 +63,8 @@
 
 // Load implements Handler.
 func (pl *Platform) Load() any {
-	pl.state.Lock()
-	defer pl.state.Unlock()
+	pl.stateMu.Lock()
+	defer pl.stateMu.Unlock()
 	return platformLoad{BootID: bootID, Reads: pl.reads, Writes: pl.writes}
 }
 
@@ -86,15 +93,16 @@
 		ctx.Error(err.Error(), http.StatusBadRequest)
 		return
 	}
-	pl.state.Lock()
-	defer pl.state.Unlock()
-	pl.lists = append(pl.lists, datedList{at: time.Now(), list: list})
+	pl.stateMu.Lock()
+	defer pl.stateMu.Unlock()
+	pl.lists = append(pl.lists, instanceList{at: time.Now(), list: list})
 }
 
-// instances returns the list as it was ListLag ago; the first one shows at once.
+// instances returns the list of instances as it was ListLag ago. The first list is
+// visible immediately.
 func (pl *Platform) instances() []platform.Instance {
-	pl.state.Lock()
-	defer pl.state.Unlock()
+	pl.stateMu.Lock()
+	defer pl.stateMu.Unlock()
 	pl.reads++
 	shown := []platform.Instance{}
 	for ix, da := range pl.lists {
@@ -107,7 +115,7 @@
 
 func (pl *Platform) list(ctx *fasthttp.RequestCtx) {
 	prefix := string(ctx.QueryArgs().Peek("prefix"))
-	pl.state.Lock()
+	pl.stateMu.Lock()
 	pl.reads++
 	li := platform.Listing{Revision: pl.revision, Objects: []platform.Object{}}
 	for key, ob := range pl.objects {
@@ -115,11 +123,13 @@
 			li.Objects = append(li.Objects, ob)
 		}
 	}
-	pl.state.Unlock()
+	pl.stateMu.Unlock()
 	slices.SortFunc(li.Objects, func(le, ri platform.Object) int { return strings.Compare(le.Key, ri.Key) })
 	writeJSON(ctx, li)
 }
 
+// watch answers as soon as there are changes after a version, or with an empty list
+// after watchTimeout.
 func (pl *Platform) watch(ctx *fasthttp.RequestCtx) {
 	prefix := string(ctx.QueryArgs().Peek("prefix"))
 	after, err := strconv.ParseInt(string(ctx.QueryArgs().Peek("after")), 10, 64)
@@ -127,7 +137,7 @@
 		ctx.Error("after: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	timeout := time.After(watchWait)
+	timeout := time.After(watchTimeout)
 	for {
 		li, changed := pl.since(prefix, after)
 		if len(li.Objects) > 0 {
@@ -136,7 +146,7 @@
 		}
 		select {
 		case <-changed:
-			if pl.current().Mode == ModeDown {
+			if pl.currentFault().Mode == ModeDown {
 				hangUp(ctx)
 				return
 			}
@@ -147,9 +157,11 @@
 	}
 }
 
+// since returns the changes after a version of keys with the prefix, and a channel
+// that is closed at the next change.
 func (pl *Platform) since(prefix string, after int64) (platform.Listing, chan struct{}) {
-	pl.state.Lock()
-	defer pl.state.Unlock()
+	pl.stateMu.Lock()
+	defer pl.stateMu.Unlock()
 	pl.reads++
 	li := platform.Listing{Revision: pl.revision, Objects: []platform.Object{}}
 	from, _ := slices.BinarySearchFunc(pl.events, after+1, func(ob platform.Object, version int64) int {
@@ -163,9 +175,11 @@
 	return li, pl.changed
 }
 
+// object reads an object, or writes or deletes it if the version in the request is the
+// current one.
 func (pl *Platform) object(ctx *fasthttp.RequestCtx, key string) {
-	pl.state.Lock()
-	defer pl.state.Unlock()
+	pl.stateMu.Lock()
+	defer pl.stateMu.Unlock()
 	ob, found := pl.objects[key]
 	if ctx.IsGet() {
 		pl.reads++
@@ -190,6 +204,8 @@
 	pl.write(ctx, key)
 }
 
+// write stores or deletes an object under a new revision and wakes the watches. The
+// caller holds stateMu.
 func (pl *Platform) write(ctx *fasthttp.RequestCtx, key string) {
 	pl.revision++
 	ob := platform.Object{Key: key, Version: pl.revision}
@@ -201,8 +217,8 @@
 		pl.objects[key] = ob
 	}
 	pl.events = append(pl.events, ob)
-	if len(pl.events) > 2*keptEvents {
-		pl.events = slices.Clone(pl.events[keptEvents:])
+	if len(pl.events) > 2*minEvents {
+		pl.events = slices.Clone(pl.events[minEvents:])
 	}
 	close(pl.changed)
 	pl.changed = make(chan struct{})
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -12,36 +12,48 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Mode is how a stand-in misbehaves.
+// Mode is a fault mode of a stand-in.
 type Mode string
 
 // The modes of POST /standin/faults.
 const (
-	ModeNone       Mode = "none"
-	ModeDown       Mode = "down"
-	ModeSlow       Mode = "slow"
-	ModeSilent     Mode = "silent"
-	ModeCrash      Mode = "crash"
+	// ModeNone serves requests normally.
+	ModeNone Mode = "none"
+	// ModeDown closes connections without an answer.
+	ModeDown Mode = "down"
+	// ModeSlow delays each answer, and each write to a stream, by 500 ms.
+	ModeSlow Mode = "slow"
+	// ModeSilent stops all answers to requests that were received before the
+	// fault, without closing their connections.
+	ModeSilent Mode = "silent"
+	// ModeCrash exits the process, at once or when a request matches.
+	ModeCrash Mode = "crash"
+	// ModeLoseAnswer executes requests and closes the connection without an
+	// answer.
 	ModeLoseAnswer Mode = "lose_answer"
-	ModeCold       Mode = "cold"
+	// ModeCold makes an engine cold.
+	ModeCold Mode = "cold"
 )
 
-// slowDelay is added to each answer in ModeSlow.
+// slowDelay is the delay of ModeSlow.
 const slowDelay = 500 * time.Millisecond
 
-// crashExitCode is the exit code of a stand-in that crashes on purpose.
+// crashExitCode is the exit code of a stand-in in ModeCrash.
 const crashExitCode = 3
 
 // Fault is the body of POST /standin/faults.
 type Fault struct {
 	Mode Mode `json:"mode"`
-	// For ends the fault; empty means until the next one.
+	// For is the duration of the fault in the format of time.ParseDuration. If it
+	// is empty, the fault lasts until the next one is set.
 	For string `json:"for,omitempty"`
-	// Match limits ModeCrash to requests whose body contains it.
+	// Match restricts ModeCrash to requests whose body contains it. If it is
+	// empty, the process exits immediately.
 	Match string `json:"match,omitempty"`
 }
 
-// Call is an entry of GET /standin/calls.
+// Call is an element of the answer to GET /standin/calls. The key is the idempotency
+// key of a call or the id of a generation, and At a time in RFC 3339 format.
 type Call struct {
 	Key    string `json:"key"`
 	Path   string `json:"path"`
@@ -49,7 +61,7 @@
 	At     string `json:"at"`
 }
 
-// Handler is a stand-in.
+// Handler is a stand-in that Serve can run.
 type Handler interface {
 	// Serve answers a request of the published protocol.
 	Serve(ctx *fasthttp.RequestCtx)
@@ -58,19 +70,23 @@
 	shared() *base
 }
 
-// base is what all stand-ins share: faults and the record of calls.
+// base has the parts that all stand-ins share: the fault mode and the record of
+// calls.
 type base struct {
-	mu      sync.Mutex
-	fault   Fault
-	until   time.Time
-	silence time.Time
-	calls   []Call
-	onCold  func()
+	mu    sync.Mutex
+	fault Fault
+	// until is the end of the fault, zero if it has none.
+	until time.Time
+	// silentSince is the time at which ModeSilent was last set.
+	silentSince time.Time
+	calls       []Call
+	// onCold is called when ModeCold is set. It may be nil.
+	onCold func()
 }
 
 func (ba *base) shared() *base { return ba }
 
-func (ba *base) current() Fault {
+func (ba *base) currentFault() Fault {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	if !ba.until.IsZero() && time.Now().After(ba.until) {
@@ -79,7 +95,7 @@
 	return ba.fault
 }
 
-func (ba *base) set(fa Fault) error {
+func (ba *base) setFault(fa Fault) error {
 	var lasts time.Duration
 	if fa.For != "" {
 		var err error
@@ -94,7 +110,7 @@
 		ba.until = time.Now().Add(lasts)
 	}
 	if fa.Mode == ModeSilent {
-		ba.silence = time.Now()
+		ba.silentSince = time.Now()
 	}
 	ba.mu.Unlock()
 	if fa.Mode == ModeCold && ba.onCold != nil {
@@ -106,22 +122,24 @@
 	return nil
 }
 
-// silenced tells whether a connection that was open at begun says no more.
+// silenced reports whether ModeSilent was set after a request that was received at
+// begun, so that its answer must stop.
 func (ba *base) silenced(begun time.Time) bool {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
-	return begun.Before(ba.silence)
+	return begun.Before(ba.silentSince)
 }
 
+// record adds a call to the answer to GET /standin/calls.
 func (ba *base) record(key, path string, offset int64) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	ba.calls = append(ba.calls, Call{Key: key, Path: path, Offset: offset, At: time.Now().UTC().Format(time.RFC3339Nano)})
 }
 
-// crashOn ends the process if the fault says so for this body.
+// crashOn exits the process if ModeCrash is set and the body contains its match.
 func (ba *base) crashOn(body []byte) {
-	fa := ba.current()
+	fa := ba.currentFault()
 	if fa.Mode == ModeCrash && fa.Match != "" && strings.Contains(string(body), fa.Match) {
 		os.Exit(crashExitCode)
 	}
@@ -150,18 +168,18 @@
 		var fa Fault
 		err := json.Unmarshal(ctx.PostBody(), &fa)
 		if err == nil {
-			err = ha.shared().set(fa)
+			err = ha.shared().setFault(fa)
 		}
 		if err != nil {
 			ctx.Error(err.Error(), http.StatusBadRequest)
 		}
 	default:
-		faulty(ctx, ha)
+		serveWithFault(ctx, ha)
 	}
 }
 
-func faulty(ctx *fasthttp.RequestCtx, ha Handler) {
-	switch ha.shared().current().Mode {
+func serveWithFault(ctx *fasthttp.RequestCtx, ha Handler) {
+	switch ha.shared().currentFault().Mode {
 	case ModeDown:
 		hangUp(ctx)
 		return
@@ -175,7 +193,7 @@
 	ha.Serve(ctx)
 }
 
-// hangUp closes the connection without an answer.
+// hangUp closes the connection without sending an answer.
 func hangUp(ctx *fasthttp.RequestCtx) {
 	ctx.Response.ResetBody()
 	ctx.HijackSetNoResponse(true)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -9,23 +9,25 @@
 	"filbertstall.example/filbertstall/internal/endpoint"
 )
 
-// Service is a plain service that records each call and answers with what it
-// got. It repeats a call that it gets twice, so that a doubled call is seen.
+// Service is a plain service that records each call and echoes it in the answer. It
+// deliberately does not deduplicate calls, so that a call that is sent twice is
+// detected.
 type Service struct {
 	base
-	// Name is told in each answer.
+	// Name is the name of the service in answers.
 	Name string
-	// Delay is how long a call takes.
+	// Delay is the duration of a call.
 	Delay time.Duration
 
 	running atomic.Int64
-	begun   atomic.Int64
+	started atomic.Int64
 }
 
 // serviceAnswer is the body of a service's answer.
 type serviceAnswer struct {
 	Service string `json:"service"`
-	// Number counts the calls that this endpoint has begun.
+	// Number is the number of calls that this endpoint has started, including
+	// this one.
 	Number int64  `json:"number"`
 	Key    string `json:"key,omitempty"`
 	Method string `json:"method"`
@@ -38,7 +40,7 @@
 	begun := time.Now()
 	se.running.Add(1)
 	defer se.running.Add(-1)
-	number := se.begun.Add(1)
+	number := se.started.Add(1)
 	key := string(ctx.Request.Header.Peek(endpoint.KeyHeader))
 	se.record(key, string(ctx.Path()), 0)
 	se.crashOn(ctx.PostBody())
@@ -54,5 +56,5 @@
 
 // Load implements Handler.
 func (se *Service) Load() any {
-	return endpoint.Load{BootID: bootID, Running: int(se.running.Load()), StartedTotal: se.begun.Load()}
+	return endpoint.Load{BootID: bootID, Running: int(se.running.Load()), StartedTotal: se.started.Load()}
 }
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -8,22 +8,24 @@
 	"github.com/valyala/fasthttp"
 )
 
-// readerPoll bounds how long a stream waits without looking at faults.
-const readerPoll = 100 * time.Millisecond
+// streamPoll is the maximum time between two checks of the fault mode by a stream.
+// A stream without new tokens sends a comment at this interval.
+const streamPoll = 100 * time.Millisecond
 
-// stream sends the tokens of a generation from offset on.
+// stream sends the tokens of a generation as server-sent events, from offset on,
+// until the generation is complete or canceled or the reader disconnects.
 func (en *Engine) stream(ctx *fasthttp.RequestCtx, ge *generation, offset int64) {
 	begun := time.Now()
-	en.join(ge, 1)
+	en.addReaders(ge, 1)
 	ctx.SetContentType("text/event-stream")
 	ctx.SetBodyStreamWriter(func(wr *bufio.Writer) {
-		defer en.join(ge, -1)
+		defer en.addReaders(ge, -1)
 		at := offset
 		for {
 			for en.silenced(begun) {
-				time.Sleep(readerPoll)
+				time.Sleep(streamPoll)
 			}
-			if en.current().Mode == ModeSlow {
+			if en.currentFault().Mode == ModeSlow {
 				time.Sleep(slowDelay)
 			}
 			done, over, canceled, news := en.progress(ge)
@@ -43,28 +45,30 @@
 			}
 			select {
 			case <-news:
-			case <-time.After(readerPoll):
+			case <-time.After(streamPoll):
 				_, _ = wr.WriteString(": waiting\n\n")
 			}
 		}
 	})
 }
 
-func (en *Engine) join(ge *generation, change int) {
-	en.state.Lock()
-	defer en.state.Unlock()
+func (en *Engine) addReaders(ge *generation, change int) {
+	en.stateMu.Lock()
+	defer en.stateMu.Unlock()
 	ge.readers += change
-	ge.left = time.Now()
+	ge.readersChangedAt = time.Now()
 }
 
+// progress returns the number of generated tokens, whether the generation is over
+// or canceled, and a channel that is closed at the next token.
 func (en *Engine) progress(ge *generation) (done int64, over, canceled bool, news chan struct{}) {
-	en.state.Lock()
-	defer en.state.Unlock()
-	return ge.done, ge.done >= ge.length, ge.canceled, ge.news
+	en.stateMu.Lock()
+	defer en.stateMu.Unlock()
+	return ge.done, ge.done >= ge.length, ge.canceled, ge.changed
 }
 
-// writeToken writes an event whose text names seed and offset, so that a
-// doubled, lost or spliced token shows in the answer.
+// writeToken writes an event whose text contains the seed and the offset, so that
+// callers can detect duplicated, missing and foreign tokens.
 func writeToken(wr *bufio.Writer, ge *generation, offset int64) {
 	var raw [24]byte
 	number := strconv.AppendInt(raw[:0], offset, 10)
