--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -1,11 +1,13 @@
-// Package slope carries measurements at a few sizes to a larger one.
+// Package slope extrapolates measurements at a few sizes linearly to a larger
+// size.
 //
-// Tests and runs print one line for each size, anywhere in their output:
+// Tests and load tool runs print one line for each size, anywhere in their output:
 //
 //	slope: control instances=20 messages_per_s=16 bytes_per_s=933
 //
-// The first pair is the size, the others are measured there. A line may come
-// several times; the spread is that of its repetitions.
+// The first word is the series and the first pair the size. The other pairs are
+// metrics measured at this size. Lines may be repeated with other values, and the
+// repetitions give the median and the range.
 //
 // # Usage
 //
@@ -25,31 +27,31 @@
 	"strings"
 )
 
-// prefix begins a measurement in a line.
+// prefix marks the start of a measurement within a line.
 const prefix = "slope: "
 
-// key names the repetitions of one measurement.
+// key identifies a measurement, which may have several repetitions.
 type key struct {
 	series, metric string
 	size           float64
 }
 
-// Measurements are all that was read.
+// Measurements holds the values that Read found. Use Read to create it.
 type Measurements struct{ values map[key][]float64 }
 
-// Point is one size with the median and the spread of its repetitions.
+// Point is one size with the median, minimum and maximum of its repetitions.
 type Point struct {
 	Size, Median, Least, Most float64
 }
 
-// Fit is a straight line through the points of one metric.
+// Fit is a linear fit to the points of one metric.
 type Fit struct {
 	Points           []Point
 	Intercept, Slope float64
 }
 
-// Read reads measurements out of the output of tests. Other lines are passed
-// over.
+// Read extracts measurements from test output and ignores other lines. It returns
+// an error for a malformed measurement.
 func Read(rd io.Reader) (Measurements, error) {
 	me := Measurements{values: make(map[key][]float64)}
 	sc := bufio.NewScanner(rd)
@@ -69,12 +71,12 @@
 	if len(fields) < 3 {
 		return fmt.Errorf("a name, a size and a metric are needed")
 	}
-	_, size, err := pair(fields[1])
+	_, size, err := parsePair(fields[1])
 	if err != nil {
 		return err
 	}
 	for _, field := range fields[2:] {
-		metric, value, err := pair(field)
+		metric, value, err := parsePair(field)
 		if err != nil {
 			return err
 		}
@@ -84,7 +86,8 @@
 	return nil
 }
 
-func pair(field string) (string, float64, error) {
+// parsePair parses a field of the form name=number.
+func parsePair(field string) (string, float64, error) {
 	name, text, found := strings.Cut(field, "=")
 	if !found {
 		return "", 0, fmt.Errorf("%q is not like name=number", field)
@@ -93,7 +96,7 @@
 	return name, value, err
 }
 
-// Points returns the measured sizes of a metric in rising order.
+// Points returns the points of a metric in ascending order of size.
 func (me Measurements) Points(series, metric string) []Point {
 	var points []Point
 	for ke, values := range maps.All(me.values) {
@@ -106,8 +109,8 @@
 	return points
 }
 
-// Fit draws a straight line through the points of a metric by least squares.
-// It returns false if there are fewer than two sizes.
+// Fit fits a line to the medians of a metric by least squares. It returns false if
+// there are fewer than two sizes.
 func (me Measurements) Fit(series, metric string) (Fit, bool) {
 	fi := Fit{Points: me.Points(series, metric)}
 	if len(fi.Points) < 2 {
@@ -118,15 +121,15 @@
 		meanSize += po.Size / float64(len(fi.Points))
 		meanValue += po.Median / float64(len(fi.Points))
 	}
-	var both, sizes float64
+	var covariance, variance float64
 	for _, po := range fi.Points {
-		both += (po.Size - meanSize) * (po.Median - meanValue)
-		sizes += (po.Size - meanSize) * (po.Size - meanSize)
+		covariance += (po.Size - meanSize) * (po.Median - meanValue)
+		variance += (po.Size - meanSize) * (po.Size - meanSize)
 	}
-	fi.Slope = both / sizes
+	fi.Slope = covariance / variance
 	fi.Intercept = meanValue - fi.Slope*meanSize
 	return fi, true
 }
 
-// At carries the line to a size.
+// At returns the value of the line at a size.
 func (fi Fit) At(size float64) float64 { return fi.Intercept + fi.Slope*size }
--- a/internal/slope/slope_test.go
+++ b/internal/slope/slope_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("Read", func() {
-	It("fits the medians of repeated lines and passes over the rest", func() {
+	It("fits the medians of repeated lines and ignores other lines", func() {
 		me, err := slope.Read(strings.NewReader("ok\n    x_test.go:1: slope: a n=1 b=9 c=1\nslope: a n=1 b=10\nslope: a n=1 b=100\nslope: a n=3 b=30\n"))
 		Expect(err).NotTo(HaveOccurred())
 		fi, ok := me.Fit("a", "b")
@@ -27,7 +27,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	DescribeTable("refuses what is not a measurement",
+	DescribeTable("returns an error for malformed measurements",
 		func(line string) {
 			_, err := slope.Read(strings.NewReader(line))
 			Expect(err).To(HaveOccurred())
