--- a/internal/bench/capacity.go
+++ b/internal/bench/capacity.go
@@ -7,13 +7,13 @@
 	"filbertstall.example/filbertstall/internal/bench/simulation"
 )
 
-// capacity searches for the arrival rate that stands for load 1.0.
+// capacity is the command that searches for the arrival rate defined as load 1.0.
 type capacity struct {
 	out     io.Writer
 	Lengths []string `long:"lengths" description:"lognormal, pareto or bimodal; repeat for more" default:"lognormal"`
 }
 
-// capacityRow is one found rate.
+// capacityRow is the result for one length distribution.
 type capacityRow struct {
 	Lengths string `json:"lengths"`
 	// Arrivals is in requests per second.
@@ -24,7 +24,7 @@
 func (ca *capacity) Execute([]string) error {
 	encoder := json.NewEncoder(ca.out)
 	for _, le := range ca.Lengths {
-		rate, err := simulation.Search(simulation.Lengths(le))
+		rate, err := simulation.SearchCapacity(simulation.Lengths(le))
 		if err != nil {
 			return err
 		}
--- a/internal/bench/command.go
+++ b/internal/bench/command.go
@@ -8,14 +8,14 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// entry is one command of the program.
-type entry struct {
-	name, short string
-	command     any
+// commandSpec describes one subcommand of filbertbench.
+type commandSpec struct {
+	name, summary string
+	command       any
 }
 
-func commands(out io.Writer) []entry {
-	return []entry{
+func commands(out io.Writer) []commandSpec {
+	return []commandSpec{
 		{"up", "Start a deployment of processes and run it until interrupted", &up{location{out: out}}},
 		{"soak", "Run a deployment through random faults from a seed", &soak{smoke: smoke{location: location{out: out}}}},
 		{"cost", "Measure what an entry instance adds to calling an engine directly", &cost{location: location{out: out}}},
@@ -31,11 +31,12 @@
 	}
 }
 
-// Run runs the command line and returns the exit code.
+// Run parses the command line args without the program name, executes the
+// selected command and returns the exit code. Errors are printed to errOut.
 func Run(args []string, out, errOut io.Writer) int {
 	parser := flags.NewNamedParser("filbertbench", flags.HelpFlag|flags.PassDoubleDash)
-	for _, en := range commands(out) {
-		if _, err := parser.AddCommand(en.name, en.short, en.short+".", en.command); err != nil {
+	for _, cs := range commands(out) {
+		if _, err := parser.AddCommand(cs.name, cs.summary, cs.summary+".", cs.command); err != nil {
 			_, _ = fmt.Fprintln(errOut, "filbertbench:", err)
 			return 1
 		}
--- a/internal/bench/cost.go
+++ b/internal/bench/cost.go
@@ -23,7 +23,8 @@
 	"filbertstall.example/filbertstall/pkg/client"
 )
 
-// cost measures what an entry instance adds to calling an engine directly.
+// cost is the command that measures the overhead of an entry instance compared
+// with calling an engine directly.
 type cost struct {
 	location
 	Rate     float64       `long:"rate" default:"40" description:"Arrivals per second on each of the two paths"`
@@ -34,7 +35,8 @@
 	Slope    bool          `long:"slope" description:"Print lines for the command slopes"`
 }
 
-// costResult compares the two paths in one run.
+// costResult compares the direct path with the path through the entry instance,
+// measured side by side in one run.
 type costResult struct {
 	Requests       int     `json:"requests_per_path"`
 	DirectP50MS    float64 `json:"direct_first_token_ms_p50"`
@@ -50,15 +52,17 @@
 }
 
 const (
-	// idleObserved is how long the idle processor time is observed.
-	idleObserved = 5 * time.Second
-	// warmRequests bring engines and connections to their working state.
-	warmRequests = 80
-	// costSequences lets engines bear all from the start, so that the cost of
-	// the relay is measured and not the wait for warm engines.
-	costSequences = 256
-	// clockTick is the unit of processor time in /proc.
-	clockTick = 10 * time.Millisecond
+	// idlePeriod is the interval over which the processor time of an idle entry
+	// instance is measured.
+	idlePeriod = 5 * time.Second
+	// warmupRequests is the number of requests sent on each path before the
+	// measurement, to warm up engines and connections.
+	warmupRequests = 80
+	// coldSequences lets cold engines run 256 sequences at once, so that the run
+	// measures the cost of the relay and not the wait for engines to warm up.
+	coldSequences = 256
+	// clockTickDuration is the unit of processor time in /proc/PID/stat.
+	clockTickDuration = 10 * time.Millisecond
 )
 
 // Execute implements flags.Commander.
@@ -71,8 +75,8 @@
 	}
 	defer remove()
 	fl, err := fleet.Start(ctx, fleet.Options{
-		Bin: co.Bin, Dir: dir, Entries: 1, Engines: 2, ColdSequences: costSequences,
-		EngineArgs: []string{"--step-base", "2ms", "--step-per-sequence", "20us", "--warm-tokens", "1", "--cold-sequences", strconv.Itoa(costSequences)},
+		Bin: co.Bin, Dir: dir, Entries: 1, Engines: 2, ColdSequences: coldSequences,
+		EngineArgs: []string{"--step-base", "2ms", "--step-per-sequence", "20us", "--warm-tokens", "1", "--cold-sequences", strconv.Itoa(coldSequences)},
 	})
 	if err != nil {
 		return err
@@ -93,65 +97,69 @@
 	return json.NewEncoder(co.out).Encode(re)
 }
 
+// measure warms up both paths, then measures idle processor time, latency under
+// load and memory per open stream, in this order.
 func (co *cost) measure(ctx context.Context, fl *fleet.Fleet) (costResult, error) {
 	var re costResult
 	entry := fl.Report.Entries[0]
 	paths := co.paths(fl)
-	for range warmRequests {
+	for range warmupRequests {
 		for _, path := range paths {
-			if _, err := path.first(ctx); err != nil {
+			if _, err := path.firstToken(ctx); err != nil {
 				return re, fmt.Errorf("%s: %w", path.name, err)
 			}
 		}
 	}
-	idle, err := cpuDuring(entry.PID, func() { time.Sleep(idleObserved) })
+	idle, err := cpuDuring(entry.PID, func() { time.Sleep(idlePeriod) })
 	if err != nil {
 		return re, err
 	}
-	re.IdleCPUPercent = 100 * idle.Seconds() / idleObserved.Seconds()
+	re.IdleCPUPercent = 100 * idle.Seconds() / idlePeriod.Seconds()
 	used, err := cpuDuring(entry.PID, func() { co.load(ctx, paths) })
 	if err != nil {
 		return re, err
 	}
-	direct, via := paths[0], paths[1]
-	if direct.failed+via.failed > 0 {
-		return re, fmt.Errorf("%d direct and %d relayed requests failed: %w", direct.failed, via.failed, cmp.Or(direct.cause, via.cause))
+	direct, relayed := paths[0], paths[1]
+	if direct.failed+relayed.failed > 0 {
+		return re, fmt.Errorf("%d direct and %d relayed requests failed: %w", direct.failed, relayed.failed, cmp.Or(direct.firstErr, relayed.firstErr))
 	}
-	re.Requests = int(via.seen.hi.TotalCount())
-	re.DirectP50MS, re.DirectP99MS = milliseconds(direct.seen, 0.5), milliseconds(direct.seen, 0.99)
-	re.EntryP50MS, re.EntryP99MS = milliseconds(via.seen, 0.5), milliseconds(via.seen, 0.99)
+	re.Requests = int(relayed.latencies.hi.TotalCount())
+	re.DirectP50MS, re.DirectP99MS = milliseconds(direct.latencies, 0.5), milliseconds(direct.latencies, 0.99)
+	re.EntryP50MS, re.EntryP99MS = milliseconds(relayed.latencies, 0.5), milliseconds(relayed.latencies, 0.99)
 	re.AddedP50MS, re.AddedP99MS = re.EntryP50MS-re.DirectP50MS, re.EntryP99MS-re.DirectP99MS
 	re.CPUMicros = float64(used.Microseconds()) / float64(re.Requests*co.Tokens)
 	re.StreamBytes, re.RSSBytes, err = co.memory(ctx, entry)
 	return re, err
 }
 
-// path is one way to an engine.
+// path is one of the two ways to reach an engine, with its measurements.
 type path struct {
 	name string
-	// first runs a request to its end and returns the time to its first token.
-	first func(ctx context.Context) (time.Duration, error)
+	// firstToken runs a request to completion and returns the time to its first
+	// token.
+	firstToken func(ctx context.Context) (time.Duration, error)
 
-	mu     sync.Mutex
-	seen   latency
-	failed int
-	// cause is the first failure.
-	cause error
+	mu        sync.Mutex
+	latencies latency
+	failed    int
+	// firstErr is the error of the first failed request, nil if none failed.
+	firstErr error
 }
 
 func (pa *path) run(ctx context.Context) {
-	du, err := pa.first(ctx)
+	du, err := pa.firstToken(ctx)
 	pa.mu.Lock()
 	defer pa.mu.Unlock()
 	if err != nil {
 		pa.failed++
-		pa.cause = cmp.Or(pa.cause, err)
+		pa.firstErr = cmp.Or(pa.firstErr, err)
 		return
 	}
-	pa.seen.record(du)
+	pa.latencies.record(du)
 }
 
-// paths returns the direct path and the one through the entry instance.
+// paths returns the direct path, which alternates between the two engines, and
+// the path through the entry instance, in this order.
 func (co *cost) paths(fl *fleet.Fleet) []*path {
 	body := fmt.Sprintf(`{"model":"filbert","prompt":"Explain chapter 7.","stream":true,"max_tokens":%d}`, co.Tokens)
 	dc := &endpoint.Client{IdleTimeout: time.Minute}
@@ -159,20 +167,20 @@
 		Entries: []string{fl.Report.Entries[0].Caller}, Token: fleet.CallerToken,
 		HTTP: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext, MaxIdleConnsPerHost: 1024}},
 	}
-	var turn int
+	var requests int
 	var mu sync.Mutex
 	direct := func(context.Context) (time.Duration, error) {
 		mu.Lock()
-		turn++
-		url := fl.Report.Endpoints[turn%2].URL
+		requests++
+		url := fl.Report.Endpoints[requests%2].URL
 		mu.Unlock()
-		return firstDirect(dc, url, body)
+		return directFirstToken(dc, url, body)
 	}
-	via := func(ctx context.Context) (time.Duration, error) { return firstVia(ctx, cl, body) }
-	return []*path{{name: "direct", first: direct, seen: newLatency()}, {name: "entry", first: via, seen: newLatency()}}
+	relayed := func(ctx context.Context) (time.Duration, error) { return relayedFirstToken(ctx, cl, body) }
+	return []*path{{name: "direct", firstToken: direct, latencies: newLatency()}, {name: "entry", firstToken: relayed, latencies: newLatency()}}
 }
 
-func firstDirect(dc *endpoint.Client, url, body string) (time.Duration, error) {
+func directFirstToken(dc *endpoint.Client, url, body string) (time.Duration, error) {
 	var raw [16]byte
 	_, _ = rand.Read(raw[:])
 	begun := time.Now()
@@ -196,7 +204,7 @@
 	}
 }
 
-func firstVia(ctx context.Context, cl *client.Client, body string) (time.Duration, error) {
+func relayedFirstToken(ctx context.Context, cl *client.Client, body string) (time.Duration, error) {
 	begun := time.Now()
 	st := cl.Generate(ctx, client.Generation{Path: "/v1/completions", Body: []byte(body)})
 	defer st.Close()
@@ -211,7 +219,8 @@
 	}
 }
 
-// load sends requests on both paths at the same open-loop arrivals.
+// load sends one request on each path at every arrival of an open-loop Poisson
+// process with co.Rate arrivals per second, and waits for the answers.
 func (co *cost) load(ctx context.Context, paths []*path) {
 	rn := mathrand.New(mathrand.NewPCG(co.Seed, 0))
 	var wg sync.WaitGroup
@@ -226,7 +235,9 @@
 	wg.Wait()
 }
 
-// memory holds streams open and compares the process's memory.
+// memory opens co.Open streams and returns the growth of the entry instance's
+// resident memory per stream, and its resident memory with the streams open.
+// Both are in bytes.
 func (co *cost) memory(ctx context.Context, entry fleet.Entry) (perStream float64, resident int64, err error) {
 	before, err := residentBytes(entry.PID)
 	if err != nil {
@@ -248,19 +259,19 @@
 	return float64(during-before) / float64(co.Open), during, err
 }
 
-// cpuDuring returns the processor time that a process used while work ran.
+// cpuDuring returns the processor time that the process uses while work runs.
 func cpuDuring(pid int, work func()) (time.Duration, error) {
-	before, err := cpuOf(pid)
+	before, err := cpuTime(pid)
 	if err != nil {
 		return 0, err
 	}
 	work()
-	after, err := cpuOf(pid)
+	after, err := cpuTime(pid)
 	return after - before, err
 }
 
-// cpuOf reads the processor time of a process, user and system.
-func cpuOf(pid int) (time.Duration, error) {
+// cpuTime returns the total user and system processor time of a process.
+func cpuTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return 0, err
@@ -272,10 +283,10 @@
 		return 0, err
 	}
 	system, err := strconv.Atoi(fields[systemField])
-	return time.Duration(user+system) * clockTick, err
+	return time.Duration(user+system) * clockTickDuration, err
 }
 
-// residentBytes reads the resident memory of a process.
+// residentBytes returns the resident memory of a process.
 func residentBytes(pid int) (int64, error) {
 	data, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/statm")
 	if err != nil {
--- a/internal/bench/demo.go
+++ b/internal/bench/demo.go
@@ -1,5 +1,6 @@
-// Package bench holds the commands of filbertbench: it starts deployments,
-// puts load on them and reports what callers saw.
+// Package bench implements the commands of filbertbench, the load tool. They
+// start deployments as local processes, generate load, inject faults and report
+// the results that callers observed.
 //
 // # Usage
 //
@@ -23,19 +24,19 @@
 	"filbertstall.example/filbertstall/pkg/client"
 )
 
-// demoTokens is the length of the demonstration's generation.
+// demoTokens is the number of tokens that the demonstration requests.
 const demoTokens = 300
 
-// location says where the built programs are.
+// location holds the flags of commands that start a deployment.
 type location struct {
 	out io.Writer
 	Bin string `long:"bin" default:"bin" description:"Folder of the built programs"`
-	// Dir takes settings and logs.
+	// Dir receives settings and logs. If empty, a temporary folder is used.
 	Dir string `long:"dir" description:"Folder for settings and logs; a temporary one by default"`
 }
 
-// folder returns the folder for settings and logs, and how to remove it unless
-// the user named it.
+// folder returns the folder for settings and logs, and a function that removes
+// it. The function does nothing if the user named the folder.
 func (lo location) folder() (string, func(), error) {
 	if lo.Dir != "" {
 		return lo.Dir, func() {}, nil
@@ -44,7 +45,8 @@
 	return dir, func() { _ = os.RemoveAll(dir) }, err
 }
 
-// start starts a deployment; the returned function removes its files.
+// start starts a deployment with default options. The returned function removes
+// its files and is valid also after an error.
 func (lo location) start(ctx context.Context) (*fleet.Fleet, func(), error) {
 	dir, remove, err := lo.folder()
 	if err != nil {
@@ -54,7 +56,8 @@
 	return fl, remove, err
 }
 
-// up starts a deployment and runs it until interrupted.
+// up is the command that starts a deployment and keeps it running until it is
+// interrupted.
 type up struct{ location }
 
 // Execute implements flags.Commander.
@@ -73,7 +76,7 @@
 	return fl.Stop()
 }
 
-// demo streams one generation and makes one booking.
+// demo is the command that streams one generation and makes one booking.
 type demo struct{ location }
 
 // Execute implements flags.Commander.
@@ -119,7 +122,7 @@
 		if err != nil {
 			return err
 		}
-		if err := tc.Take(ev.Data); err != nil {
+		if err := tc.Check(ev.Data); err != nil {
 			return err
 		}
 	}
--- a/internal/bench/latency.go
+++ b/internal/bench/latency.go
@@ -11,7 +11,9 @@
 	longestLatency  = 2 * time.Hour
 )
 
-// latency records durations with a resolution of a microsecond.
+// latency is a histogram of durations with a resolution of 1 µs and three
+// significant digits. Longer durations count as longestLatency. It is not safe
+// for concurrent use.
 type latency struct{ hi *hdrhistogram.Histogram }
 
 func newLatency() latency {
@@ -22,7 +24,7 @@
 	_ = la.hi.RecordValue(min(max(du.Microseconds(), 1), longestLatency.Microseconds()))
 }
 
-// quantile returns the latency that the share qu, 0 to 1, does not exceed.
+// quantile returns the latency at quantile qu, from 0 to 1.
 func (la latency) quantile(qu float64) time.Duration {
 	return time.Duration(la.hi.ValueAtQuantile(qu*100)) * time.Microsecond
 }
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -14,7 +14,8 @@
 	"filbertstall.example/filbertstall/pkg/client"
 )
 
-// load puts an open-loop load of streamed generations on entry instances.
+// load is the command that generates an open-loop load of streamed generations
+// on entry instances. Arrivals are a Poisson process.
 type load struct {
 	out      io.Writer
 	Target   []string      `long:"target" required:"true" value-name:"URL" description:"Caller address of an entry instance; repeat for more"`
@@ -25,7 +26,7 @@
 	Seed     uint64        `long:"seed" default:"1" description:"Seed of the arrivals"`
 }
 
-// loadResult is what the callers saw.
+// loadResult is the JSON result of the load command, as callers observed it.
 type loadResult struct {
 	Sent       int     `json:"sent"`
 	Whole      int     `json:"whole"`
@@ -37,7 +38,7 @@
 	GapP99MS   float64 `json:"inter_token_ms_p99"`
 }
 
-// observer collects what callers see.
+// observer collects the measurements of concurrent callers.
 type observer struct {
 	mu     sync.Mutex
 	first  latency
@@ -56,7 +57,7 @@
 	for at.Before(end) {
 		time.Sleep(time.Until(at))
 		ob.count(&ob.result.Sent)
-		wg.Go(func() { lo.one(cl, ob) })
+		wg.Go(func() { lo.stream(cl, ob) })
 		at = at.Add(time.Duration(rn.ExpFloat64() / lo.Rate * float64(time.Second)))
 	}
 	wg.Wait()
@@ -70,8 +71,8 @@
 	return float64(la.quantile(qu).Microseconds()) / 1000
 }
 
-// one streams one generation and records what came.
-func (lo *load) one(cl *client.Client, ob *observer) {
+// stream reads one generation to its end and records its outcome and latencies.
+func (lo *load) stream(cl *client.Client, ob *observer) {
 	body := fmt.Sprintf(`{"model":"filbert","prompt":"Explain chapter 7.","stream":true,"max_tokens":%d}`, lo.Tokens)
 	st := cl.Generate(context.Background(), client.Generation{Path: "/v1/completions", Body: []byte(body)})
 	defer st.Close()
@@ -80,21 +81,21 @@
 	for {
 		ev, err := st.Next()
 		if err != nil {
-			ob.end(tc.Tokens == lo.Tokens, err)
+			ob.recordEnd(tc.Tokens == lo.Tokens, err)
 			return
 		}
 		now := time.Now()
-		ob.token(tc.Tokens == 0, now.Sub(last))
+		ob.recordToken(tc.Tokens == 0, now.Sub(last))
 		last = now
-		if err := tc.Take(ev.Data); err != nil {
-			ob.end(false, err)
+		if err := tc.Check(ev.Data); err != nil {
+			ob.recordEnd(false, err)
 			return
 		}
 	}
 }
 
-// end counts how a stream ended.
-func (ob *observer) end(complete bool, err error) {
+// recordEnd counts the outcome of a stream: whole, refused or broken.
+func (ob *observer) recordEnd(complete bool, err error) {
 	var er *client.Error
 	switch {
 	case complete && errors.Is(err, io.EOF):
@@ -112,7 +113,7 @@
 	*which++
 }
 
-func (ob *observer) token(first bool, after time.Duration) {
+func (ob *observer) recordToken(first bool, after time.Duration) {
 	ob.mu.Lock()
 	defer ob.mu.Unlock()
 	if first {
@@ -122,7 +123,7 @@
 	ob.gap.record(after)
 }
 
-// ignoreEOF returns nil for the end of a whole answer.
+// ignoreEOF returns nil for io.EOF, which ends a complete answer.
 func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
--- a/internal/bench/policy.go
+++ b/internal/bench/policy.go
@@ -9,8 +9,9 @@
 	"filbertstall.example/filbertstall/internal/bench/simulation"
 )
 
-// policy runs the decision code in virtual time and prints a row for each
-// policy.
+// policy is the command that simulates the admission code in virtual time and
+// prints one JSON row for each combination of length distribution, load, seed
+// and policy.
 type policy struct {
 	out      io.Writer
 	Policies []string      `long:"policy" description:"round_robin, least_in_flight, filbertstall or oracle; repeat for more, all if none is given"`
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// cases returns the runs in the order of their rows.
+// cases returns the options of the runs in the order in which rows are printed.
 func (po *policy) cases() []simulation.Options {
 	policies := simulation.AllPolicies()
 	if len(po.Policies) > 0 {
@@ -62,6 +63,7 @@
 	return list
 }
 
+// trace returns the function that prints engine states, nil without --trace.
 func (po *policy) trace() func(string) {
 	if !po.Trace {
 		return nil
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -13,7 +13,7 @@
 	"filbertstall.example/filbertstall/internal/scenario"
 )
 
-// The targets that charts show.
+// The targets that charts show as limits.
 const (
 	gapTargetMS          = 41
 	firstTokenTargetS    = 0.84
@@ -23,7 +23,7 @@
 	reportFilePermission = 0o600
 )
 
-// makeReport renders results as one HTML page.
+// makeReport is the command that renders results as one HTML page.
 type makeReport struct {
 	out    io.Writer
 	Smoke  string `long:"smoke" value-name:"FILE" description:"Results of smoke --json"`
@@ -55,7 +55,7 @@
 	return err
 }
 
-// policyRow is the part of a row of make bench that the page shows.
+// policyRow holds the fields of a row of make bench that the page shows.
 type policyRow struct {
 	Policy      string  `json:"policy"`
 	Lengths     string  `json:"lengths"`
@@ -72,7 +72,8 @@
 	Refused     float64 `json:"refused_share"`
 }
 
-// policyChart is one column of the rows.
+// policyChart describes the chart of one field of the rows. A limit of zero
+// means that no target is shown.
 type policyChart struct {
 	title, unit, note string
 	log10             bool
@@ -100,6 +101,8 @@
 	return nil
 }
 
+// readRows returns the policy rows without injected faults. Lines that are not
+// JSON, such as the output of Go benchmarks, are skipped.
 func readRows(path string) ([]policyRow, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -116,8 +119,8 @@
 	return rows, sc.Err()
 }
 
-// chart groups the rows by length law and load, with a bar for each policy;
-// several seeds are averaged.
+// chart groups the rows by length distribution and load, with one bar for each
+// policy. Each bar is the mean over the seeds.
 func (pc policyChart) chart(rows []policyRow) report.Chart {
 	ch := report.Chart{Title: pc.title, Unit: pc.unit, Note: pc.note, Log10: pc.log10, Limit: pc.limit}
 	groups, policies := make(map[string]int), make(map[string]int)
@@ -184,7 +187,8 @@
 	return ta
 }
 
-// timeline shows service while a zone leaves and returns.
+// timeline returns charts of throughput and latency for each second of the zone
+// scenario.
 func timeline(re scenario.Result) []report.Chart {
 	answered := report.Series{Name: "lookups answered"}
 	tokens := report.Series{Name: "tokens / 10"}
--- a/internal/bench/simulation/allocated.go
+++ b/internal/bench/simulation/allocated.go
@@ -12,34 +12,40 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// epoch is where virtual time begins.
-var epoch = time.Unix(1_800_000_000, 0)
+// virtualStart is the wall-clock time that corresponds to virtual time zero.
+var virtualStart = time.Unix(1_800_000_000, 0)
 
-// resumedPatience is how long a caller waits for an answer to go on.
-const resumedPatience = time.Minute
+// resumeTimeout is how long a caller waits for an interrupted answer to continue.
+const resumeTimeout = time.Minute
 
-// endless is longer than any run.
-const endless = 24 * time.Hour
+// unlimited is longer than any run.
+const unlimited = 24 * time.Hour
 
 const service = "filbert-pool"
 
-// allocated asks an admission.Allocator for each place.
-type allocated struct {
-	ru   *run
-	al   *admission.Allocator
+// allocatedDispatcher obtains a place for each job from an admission.Allocator,
+// which queues and refuses jobs.
+type allocatedDispatcher struct {
+	ru *run
+	al *admission.Allocator
+	// jobs has the queued and in-flight jobs by id.
 	jobs map[string]*job
-	// flight has the jobs in flight in the order of their grants.
-	flight  []*job
-	engines map[string]*engine
-	su      *suspects
-	// wake is when Decide is due without new input.
-	wake time.Duration
+	// inFlight lists the jobs on engines in the order of their grants. A slice
+	// keeps the iteration order deterministic.
+	inFlight []*job
+	engines  map[string]*engine
+	su       *suspects
+	// wakeAt is the virtual time of the scheduled call of decide for which no new
+	// input is needed.
+	wakeAt time.Duration
 }
 
-func newAllocated(ru *run, oracle bool) *allocated {
-	ad := &allocated{ru: ru, al: &admission.Allocator{}, jobs: make(map[string]*job), engines: make(map[string]*engine), su: newSuspects()}
-	if ru.op.patient {
-		ad.al.QueueLimit, ad.al.QueueWait = math.MaxInt, endless
+// newAllocatedDispatcher returns a dispatcher over the engines of ru. If oracle is
+// set, the allocator knows the length of each answer in advance.
+func newAllocatedDispatcher(ru *run, oracle bool) *allocatedDispatcher {
+	ad := &allocatedDispatcher{ru: ru, al: &admission.Allocator{}, jobs: make(map[string]*job), engines: make(map[string]*engine), su: newSuspects()}
+	if ru.op.noAbandonment {
+		ad.al.QueueLimit, ad.al.QueueWait = math.MaxInt, unlimited
 	}
 	if oracle {
 		ad.al.Known = func(re admission.Request) int64 { return int64(ad.jobs[re.ID].length) }
@@ -52,49 +58,51 @@
 			Endpoint: kind.Endpoint{Name: en.name, Service: service, State: kind.EndpointServing, Capacity: ca}, Eligible: true,
 		})
 	}
-	ad.al.SetEndpoints(epoch, list)
+	ad.al.SetEndpoints(virtualStart, list)
 	return ad
 }
 
-func (ad *allocated) time() time.Time { return epoch.Add(ad.ru.now) }
+func (ad *allocatedDispatcher) time() time.Time { return virtualStart.Add(ad.ru.now) }
 
-func (ad *allocated) submit(jo *job) {
+func (ad *allocatedDispatcher) submit(jo *job) {
 	switch ad.su.registry.Verdict(jo.fingerprint) {
 	case suspicion.Refuse:
 		ad.refuse(jo)
 	case suspicion.Suspect:
 		ad.su.waiting = append(ad.su.waiting, jo)
-		ad.release()
+		ad.releaseSuspects()
 	default:
 		ad.request(jo, nil)
 	}
 }
 
-// release lets suspects go on, each apart from the others.
-func (ad *allocated) release() {
+// releaseSuspects requests places for held suspects, each on an engine without
+// another suspect.
+func (ad *allocatedDispatcher) releaseSuspects() {
 	for {
-		list, taken := ad.su.release(ad.ru.engines)
+		list, occupied := ad.su.release(ad.ru.engines)
 		if len(list) == 0 {
 			return
 		}
 		for _, jo := range list {
-			ad.request(jo, taken)
+			ad.request(jo, occupied)
 		}
 	}
 }
 
-// request asks the allocator for a place outside the engines taken.
-func (ad *allocated) request(jo *job, taken []string) {
+// request asks the allocator for a place on an engine that is not occupied by a
+// suspect.
+func (ad *allocatedDispatcher) request(jo *job, occupied []string) {
 	ad.jobs[jo.id] = jo
 	re := admission.Request{
 		ID: jo.id, Service: service, Team: jo.team, Weight: 1, Class: jo.class(), PromptTokens: jo.prompt,
-		DoneTokens: int64(jo.done), Fingerprint: jo.fingerprint, Exclude: slices.Concat(jo.excluded, taken), Deadline: epoch.Add(jo.arrived + jo.patience()),
+		DoneTokens: int64(jo.done), Fingerprint: jo.fingerprint, Exclude: slices.Concat(jo.excluded, occupied), Deadline: virtualStart.Add(jo.arrived + jo.patience()),
 	}
 	switch {
-	case ad.ru.op.patient:
-		re.Deadline = epoch.Add(endless)
+	case ad.ru.op.noAbandonment:
+		re.Deadline = virtualStart.Add(unlimited)
 	case jo.done > 0:
-		re.Deadline = ad.time().Add(resumedPatience)
+		re.Deadline = ad.time().Add(resumeTimeout)
 	}
 	if err := ad.al.Submit(ad.time(), re); err != nil {
 		ad.refuse(jo)
@@ -103,12 +111,14 @@
 	ad.decide()
 }
 
-func (ad *allocated) refuse(jo *job) {
+func (ad *allocatedDispatcher) refuse(jo *job) {
 	delete(ad.jobs, jo.id)
-	ad.ru.refuse(jo)
+	ad.ru.endUnanswered(jo)
 }
 
-func (ad *allocated) decide() {
+// decide carries out the decisions of the allocator until there are none, and
+// schedules the next call.
+func (ad *allocatedDispatcher) decide() {
 	for {
 		list := ad.al.Decide(ad.time())
 		if len(list) == 0 {
@@ -121,35 +131,35 @@
 				continue
 			}
 			jo.priority = de.Priority
-			jo.at = ad.engines[de.Endpoint]
-			ad.flight = append(ad.flight, jo)
-			ad.ru.dispatch(jo, jo.at)
+			jo.engine = ad.engines[de.Endpoint]
+			ad.inFlight = append(ad.inFlight, jo)
+			ad.ru.dispatch(jo, jo.engine)
 		}
 	}
 	at, found := ad.al.NextDecision(ad.time())
 	if !found {
 		return
 	}
-	due := max(at.Sub(epoch), ad.ru.now+time.Millisecond)
-	if ad.wake > ad.ru.now && ad.wake <= due {
+	due := max(at.Sub(virtualStart), ad.ru.now+time.Millisecond)
+	if ad.wakeAt > ad.ru.now && ad.wakeAt <= due {
 		return
 	}
-	ad.wake = due
+	ad.wakeAt = due
 	ad.ru.events.add(due, ad.decide)
 }
 
-func (ad *allocated) hungUp(jo *job) {
-	if jo.at == nil {
+func (ad *allocatedDispatcher) abandoned(jo *job) {
+	if jo.engine == nil {
 		ad.al.Withdraw(ad.time(), jo.id)
 	} else {
-		jo.at.cancel(jo)
+		jo.engine.cancel(jo)
 		ad.finish(jo, admission.Canceled)
 	}
 	delete(ad.jobs, jo.id)
 	ad.decide()
 }
 
-func (ad *allocated) ended(jo *job, re admission.Result) {
+func (ad *allocatedDispatcher) ended(jo *job, re admission.Result) {
 	ad.su.ended(jo, re)
 	ad.finish(jo, re)
 	if re == admission.Whole {
@@ -158,23 +168,23 @@
 	ad.decide()
 }
 
-func (ad *allocated) finish(jo *job, re admission.Result) {
-	ad.flight = without(ad.flight, jo)
-	jo.at = nil
+func (ad *allocatedDispatcher) finish(jo *job, re admission.Result) {
+	ad.inFlight = without(ad.inFlight, jo)
+	jo.engine = nil
 	ad.al.Finish(ad.time(), jo.id, admission.Outcome{Result: re, Tokens: int64(jo.done)})
 }
 
-func (ad *allocated) progress() {
-	ad.release()
-	for _, jo := range ad.flight {
+func (ad *allocatedDispatcher) progress() {
+	ad.releaseSuspects()
+	for _, jo := range ad.inFlight {
 		ad.al.Progress(ad.time(), jo.id, int64(jo.done))
 	}
 	ad.decide()
 }
 
-func (ad *allocated) report(en *engine, lo endpoint.Load) {
+func (ad *allocatedDispatcher) report(en *engine, lo endpoint.Load) {
 	ad.al.Report(ad.time(), en.name, lo)
 	ad.decide()
 }
 
-func (ad *allocated) state() string { return fmt.Sprintf("%+v", ad.al.Statistics()) }
+func (ad *allocatedDispatcher) state() string { return fmt.Sprintf("%+v", ad.al.Statistics()) }
--- a/internal/bench/simulation/capacity.go
+++ b/internal/bench/simulation/capacity.go
@@ -6,8 +6,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Capacity returns the arrival rate, per second, that stands for load 1.0: the
-// highest at which the queue of the oracle stays bounded. Search finds it.
+// Capacity returns the arrival rate, in requests per second, that is defined as
+// load 1.0: the highest rate at which the queue of the Oracle policy stays
+// bounded. SearchCapacity determines it. It returns 0 for unknown lengths.
 func Capacity(le Lengths) float64 {
 	switch le {
 	case LogNormal:
@@ -22,21 +23,21 @@
 }
 
 const (
-	searchDuration = 40 * time.Minute
-	searchStep     = 0.25
-	searchSeeds    = 3
-	// boundedQueue is the longest mean queue, in seconds of arrivals, that
-	// still counts as bounded.
-	boundedQueue = 2.0
+	searchDuration  = 40 * time.Minute
+	searchTolerance = 0.25
+	searchSeeds     = 3
+	// maxQueueSeconds is the longest mean queue, in seconds of arrivals, that
+	// counts as bounded.
+	maxQueueSeconds = 2.0
 )
 
-// Search returns the highest arrival rate, per second, at which the oracle's
-// queue stays bounded, to a quarter.
-func Search(le Lengths) (float64, error) {
+// SearchCapacity returns the highest arrival rate, in requests per second, at
+// which the queue of the Oracle policy stays bounded, with a tolerance of 0.25.
+func SearchCapacity(le Lengths) (float64, error) {
 	low, high := 1.0, 64.0
-	for high-low > searchStep {
+	for high-low > searchTolerance {
 		rate := (low + high) / 2
-		bounded, err := Bounded(le, rate, searchDuration)
+		bounded, err := QueueBounded(le, rate, searchDuration)
 		if err != nil {
 			return 0, err
 		}
@@ -49,9 +50,9 @@
 	return low, nil
 }
 
-// Bounded tells whether the oracle's queue stays bounded at a rate, in the mean
-// over a few seeds.
-func Bounded(le Lengths, rate float64, du time.Duration) (bool, error) {
+// QueueBounded reports whether the queue of the Oracle policy stays bounded at a
+// rate over a run of length du, averaged over searchSeeds seeds.
+func QueueBounded(le Lengths, rate float64, du time.Duration) (bool, error) {
 	var queues [searchSeeds]float64
 	var gr errgroup.Group
 	for ix := range queues {
@@ -67,13 +68,13 @@
 	for _, queue := range queues {
 		sum += queue
 	}
-	return sum/searchSeeds/rate <= boundedQueue, nil
+	return sum/searchSeeds/rate <= maxQueueSeconds, nil
 }
 
-// meanQueue returns the mean length of the oracle's queue over the last half of
-// a run in which nobody is refused and nobody hangs up.
+// meanQueue returns the mean queue length of the Oracle policy over the second
+// half of a run in which no request is refused and no caller hangs up.
 func meanQueue(le Lengths, seed uint64, rate float64, du time.Duration) (float64, error) {
-	op := Options{Policy: Oracle, Seed: seed, Lengths: le, Duration: du, patient: true}
+	op := Options{Policy: Oracle, Seed: seed, Lengths: le, Duration: du, noAbandonment: true}
 	ru, err := newRun(op, rate)
 	if err != nil {
 		return 0, err
@@ -81,7 +82,7 @@
 	sum, count := 0.0, 0.0
 	ru.every(time.Second, func() {
 		if ru.now > du/2 {
-			sum += float64(ru.di.(*allocated).al.Statistics().Queued)
+			sum += float64(ru.di.(*allocatedDispatcher).al.Statistics().Queued)
 			count++
 		}
 	})
--- a/internal/bench/simulation/doc.go
+++ b/internal/bench/simulation/doc.go
@@ -1,9 +1,9 @@
-// Package simulation runs the decision code of internal/admission in virtual
-// time over in-memory model engines, and measures what callers would see.
+// Package simulation runs the allocator of internal/admission in virtual time
+// against in-memory model engines and measures what callers would observe.
 //
-// There is no network: a call between parts takes no time, but progress and
-// load reports come late, as they do in the system. The same seed gives the
-// same row.
+// There is no network. Calls between components take no time, but progress and
+// load reports are delayed as in the real system. A run is deterministic for its
+// seed.
 //
 // # Usage
 //
--- a/internal/bench/simulation/engine.go
+++ b/internal/bench/simulation/engine.go
@@ -12,41 +12,50 @@
 	memoryTokens  = 60_000
 	maxSequences  = 256
 	coldSequences = 4
-	// warmTokens is how many tokens a cold engine makes until it is warm.
+	// warmTokens is the number of tokens that a cold engine generates until it is
+	// warm.
 	warmTokens = 1500
-	// coldFactor slows a cold engine that has more than it bears.
-	coldFactor      = 10
+	// coldSlowdown multiplies the step time of a cold engine with more than
+	// coldSequences running sequences.
+	coldSlowdown    = 10
 	stepBase        = 12 * time.Millisecond
 	stepPerSequence = 120 * time.Microsecond
-	// stepFullMemory is added to a step that reads a full memory.
+	// stepFullMemory is added to the step time when the KV-cache is full, and
+	// proportionally less when it is not.
 	stepFullMemory = 20 * time.Millisecond
-	// prefillPerToken is added to the step that takes in a prompt.
+	// prefillPerToken is added to the step time for each token that the step
+	// prefills.
 	prefillPerToken = 5 * time.Microsecond
-	// crashAfter is how many tokens a culprit makes before the engine crashes.
+	// crashAfter is the number of tokens that a crashing job generates before
+	// the engine crashes.
 	crashAfter = 50
 )
 
-// engine is a model engine with continuous batching. When its memory is full
-// it preempts the newest sequence of the lowest priority and computes it again
+// engine models an engine with continuous batching. When its KV-cache memory is
+// full, it preempts the newest sequence of the lowest priority and recomputes it
 // later.
 type engine struct {
-	name    string
-	boot    int
-	alive   bool
-	cold    bool
-	warmth  int
-	running []*job
-	waiting []*job
-	used    int
-	// stepping is true while a step is under way.
+	name string
+	// boot counts restarts and becomes the boot id of load reports.
+	boot  int
+	alive bool
+	cold  bool
+	// warmupTokens counts the tokens generated since the engine turned cold.
+	warmupTokens int
+	running      []*job
+	waiting      []*job
+	// used is the memory of the running jobs, in tokens.
+	used int
+	// stepping is true while a step is in progress, and duration is the length
+	// of the current or last step.
 	stepping  bool
 	duration  time.Duration
 	started   int64
 	preempted int64
 }
 
-func newEngine(no int) *engine {
-	return &engine{name: "filbert-" + strconv.Itoa(no), alive: true}
+func newEngine(index int) *engine {
+	return &engine{name: "filbert-" + strconv.Itoa(index), alive: true}
 }
 
 func (en *engine) load() endpoint.Load {
@@ -56,26 +65,28 @@
 	}
 }
 
-// overloaded tells whether one more job is more than a cold engine bears.
+// overloaded reports whether the engine is cold and has no capacity for another
+// job.
 func (en *engine) overloaded() bool {
 	return en.cold && len(en.running)+len(en.waiting) >= coldSequences
 }
 
 func (en *engine) submit(jo *job) {
-	jo.at, jo.begun = en, jo.done
+	jo.engine, jo.doneAtStart = en, jo.done
 	en.waiting = append(en.waiting, jo)
 }
 
-// cancel takes a job out at once.
+// cancel removes a job immediately, whether it runs or waits.
 func (en *engine) cancel(jo *job) {
 	en.waiting = without(en.waiting, jo)
 	before := len(en.running)
 	en.running = without(en.running, jo)
 	if len(en.running) < before {
-		en.used -= jo.held
+		en.used -= jo.heldTokens
 	}
 }
 
+// without removes jo from list in place and returns the shortened list.
 func without(list []*job, jo *job) []*job {
 	for ix, each := range list {
 		if each == jo {
@@ -85,9 +96,10 @@
 	return list
 }
 
-// begin starts a step and returns how long it takes, or false if idle.
-func (en *engine) begin() (time.Duration, bool) {
-	prefill := en.batch()
+// beginStep starts a step and returns its duration, or false if the engine is
+// idle.
+func (en *engine) beginStep() (time.Duration, bool) {
+	prefill := en.fillBatch()
 	for len(en.running) > 1 && en.used+len(en.running) > memoryTokens {
 		en.preempt()
 	}
@@ -98,14 +110,14 @@
 	du += time.Duration(prefill) * prefillPerToken
 	du += time.Duration(int64(stepFullMemory) * int64(en.used) / memoryTokens)
 	if en.cold && len(en.running) > coldSequences {
-		du *= coldFactor
+		du *= coldSlowdown
 	}
 	return du, true
 }
 
-// batch moves waiting jobs into the batch, highest priority first, and returns
-// the tokens that have to be computed.
-func (en *engine) batch() int {
+// fillBatch moves waiting jobs into the batch, highest priority first, while
+// sequences and memory allow. It returns the number of tokens to prefill.
+func (en *engine) fillBatch() int {
 	prefill := 0
 	for len(en.waiting) > 0 && len(en.running) < maxSequences {
 		best := 0
@@ -120,7 +132,7 @@
 			break
 		}
 		en.waiting = append(en.waiting[:best], en.waiting[best+1:]...)
-		jo.held = need
+		jo.heldTokens = need
 		en.used += need
 		en.running = append(en.running, jo)
 		en.started++
@@ -129,6 +141,8 @@
 	return prefill
 }
 
+// preempt moves the newest running job of the lowest priority to the head of the
+// waiting jobs and frees its memory.
 func (en *engine) preempt() {
 	worst := 0
 	for ix, jo := range en.running {
@@ -138,36 +152,36 @@
 	}
 	jo := en.running[worst]
 	en.running = append(en.running[:worst], en.running[worst+1:]...)
-	en.used -= jo.held
-	jo.held = 0
+	en.used -= jo.heldTokens
+	jo.heldTokens = 0
 	en.waiting = append([]*job{jo}, en.waiting...)
 	en.preempted++
 }
 
-// tokens adds one token to each running job.
-func (en *engine) tokens() {
+// emitTokens adds one token to each running job.
+func (en *engine) emitTokens() {
 	for _, jo := range en.running {
 		jo.done++
-		jo.held++
+		jo.heldTokens++
 	}
 	en.used += len(en.running)
-	en.warmth += len(en.running)
-	if en.warmth >= warmTokens {
+	en.warmupTokens += len(en.running)
+	if en.warmupTokens >= warmTokens {
 		en.cold = false
 	}
 }
 
-// culprit returns a job that crashes the engine now.
-func (en *engine) culprit() *job {
+// crashingJob returns a running job that crashes the engine in this step, or nil.
+func (en *engine) crashingJob() *job {
 	for _, jo := range en.running {
-		if jo.culprit && jo.done-jo.begun >= crashAfter {
+		if jo.crashesEngine && jo.done-jo.doneAtStart >= crashAfter {
 			return jo
 		}
 	}
 	return nil
 }
 
-// stop kills the engine and returns what it had.
+// stop kills the engine and returns the jobs that it loses.
 func (en *engine) stop() []*job {
 	lost := slices.Concat(en.running, en.waiting)
 	en.running, en.waiting = nil, nil
@@ -175,7 +189,7 @@
 	return lost
 }
 
-// start restarts the engine cold under a new boot id.
+// start restarts the engine in the cold state with a new boot id.
 func (en *engine) start() {
 	en.boot++
 	en.alive = true
@@ -183,4 +197,4 @@
 	en.turnCold()
 }
 
-func (en *engine) turnCold() { en.cold, en.warmth = true, 0 }
+func (en *engine) turnCold() { en.cold, en.warmupTokens = true, 0 }
--- a/internal/bench/simulation/event.go
+++ b/internal/bench/simulation/event.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// event is something that happens at a moment of virtual time.
+// event is a function that runs at a point in virtual time.
 type event struct {
 	at time.Duration
-	// number orders events of the same moment as they were added.
-	number int
-	run    func()
+	// sequence orders events with the same time by insertion.
+	sequence int
+	run      func()
 }
 
-// agenda is a heap of events.
-type agenda struct {
-	list   []event
-	number int
+// eventQueue is a heap of events, ordered by time and then by insertion.
+type eventQueue struct {
+	list     []event
+	sequence int
 }
 
-func (ag *agenda) add(at time.Duration, run func()) {
-	ag.number++
-	heap.Push(ag, event{at: at, number: ag.number, run: run})
+func (eq *eventQueue) add(at time.Duration, run func()) {
+	eq.sequence++
+	heap.Push(eq, event{at: at, sequence: eq.sequence, run: run})
 }
 
 // next removes and returns the earliest event.
-func (ag *agenda) next() event { return heap.Pop(ag).(event) }
+func (eq *eventQueue) next() event { return heap.Pop(eq).(event) }
 
 // Len implements heap.Interface.
-func (ag *agenda) Len() int { return len(ag.list) }
+func (eq *eventQueue) Len() int { return len(eq.list) }
 
 // Less implements heap.Interface.
-func (ag *agenda) Less(ix, iy int) bool {
-	if ag.list[ix].at != ag.list[iy].at {
-		return ag.list[ix].at < ag.list[iy].at
+func (eq *eventQueue) Less(ix, iy int) bool {
+	if eq.list[ix].at != eq.list[iy].at {
+		return eq.list[ix].at < eq.list[iy].at
 	}
-	return ag.list[ix].number < ag.list[iy].number
+	return eq.list[ix].sequence < eq.list[iy].sequence
 }
 
 // Swap implements heap.Interface.
-func (ag *agenda) Swap(ix, iy int) { ag.list[ix], ag.list[iy] = ag.list[iy], ag.list[ix] }
+func (eq *eventQueue) Swap(ix, iy int) { eq.list[ix], eq.list[iy] = eq.list[iy], eq.list[ix] }
 
 // Push implements heap.Interface.
-func (ag *agenda) Push(value any) { ag.list = append(ag.list, value.(event)) }
+func (eq *eventQueue) Push(value any) { eq.list = append(eq.list, value.(event)) }
 
 // Pop implements heap.Interface.
-func (ag *agenda) Pop() any {
-	last := len(ag.list) - 1
-	ev := ag.list[last]
-	ag.list[last].run = nil
-	ag.list = ag.list[:last]
+func (eq *eventQueue) Pop() any {
+	last := len(eq.list) - 1
+	ev := eq.list[last]
+	eq.list[last].run = nil
+	eq.list = eq.list[:last]
 	return ev
 }
--- a/internal/bench/simulation/fault.go
+++ b/internal/bench/simulation/fault.go
@@ -5,36 +5,38 @@
 	"time"
 )
 
+// Virtual times at which faults are injected.
 const (
-	dyingAt      = 150 * time.Second
-	restartingAt = 210 * time.Second
-	turningAt    = 270 * time.Second
-	crashingAt   = 330 * time.Second
-	// culpritFingerprint is that of no other job.
-	culpritFingerprint = math.MaxUint64
-	// noticeTime is how long nobody can know that an engine turned cold: the
-	// step under way and the tokens on their way to the allocator.
-	noticeTime = time.Second
+	killAt            = 150 * time.Second
+	restartAt         = 210 * time.Second
+	turnColdAt        = 270 * time.Second
+	crashingRequestAt = 330 * time.Second
+	// crashingFingerprint differs from the fingerprints of all other jobs.
+	crashingFingerprint = math.MaxUint64
+	// coldNoticeDelay is how long the allocator cannot know that an engine turned
+	// cold, because of the step in progress and the delay of progress reports.
+	coldNoticeDelay = time.Second
 )
 
-// plan puts the faults into the agenda.
-func (ru *run) plan() {
+// scheduleFaults adds the faults of the run to the event queue.
+func (ru *run) scheduleFaults() {
 	if ru.op.Faults.Dying {
-		ru.events.add(dyingAt, func() { ru.kill(ru.engines[4]) })
+		ru.events.add(killAt, func() { ru.kill(ru.engines[4]) })
 	}
 	if ru.op.Faults.Cold {
-		ru.events.add(restartingAt, func() { ru.kill(ru.engines[1]) })
-		ru.events.add(turningAt, func() { ru.turnCold(ru.engines[2]) })
+		ru.events.add(restartAt, func() { ru.kill(ru.engines[1]) })
+		ru.events.add(turnColdAt, func() { ru.turnCold(ru.engines[2]) })
 	}
 	if ru.op.Faults.Crashing {
-		ru.events.add(crashingAt, func() {
-			jo := &job{id: "culprit", team: "team-1", arrived: ru.now, prompt: 400, length: 600, culprit: true, fingerprint: culpritFingerprint}
+		ru.events.add(crashingRequestAt, func() {
+			jo := &job{id: "culprit", team: "team-1", arrived: ru.now, prompt: 400, length: 600, crashesEngine: true, fingerprint: crashingFingerprint}
 			ru.submit(jo)
 		})
 	}
 }
 
+// turnCold makes an engine cold without a restart.
 func (ru *run) turnCold(en *engine) {
 	en.turnCold()
-	ru.unannounced[en] = ru.now + noticeTime
+	ru.coldNoticedAt[en] = ru.now + coldNoticeDelay
 }
--- a/internal/bench/simulation/gate_test.go
+++ b/internal/bench/simulation/gate_test.go
@@ -23,18 +23,20 @@
 
 const (
 	gateSeed = 1
-	// knownRedFile lists the cases that miss their target.
+	// knownRedFile lists the known failures. Lines with knownRedPrefix are cases
+	// of this gate that miss their target.
 	knownRedFile   = "../../../KNOWN-RED.txt"
 	knownRedPrefix = "simulation gate: "
 	workers        = 4
-	// learning and searched are lengths of short runs.
-	learning = 2 * time.Minute
-	searched = 10 * time.Minute
+	// shortRun is the virtual length of the determinism runs, and boundRun that
+	// of the queue checks, which is shorter than in the capacity search.
+	shortRun = 2 * time.Minute
+	boundRun = 10 * time.Minute
 )
 
 var gateLoads = []float64{0.9, 1.2, 3.0}
 
-// gateCase is one row of the gate.
+// gateCase is one run of the gate.
 type gateCase struct {
 	policy  simulation.Policy
 	lengths simulation.Lengths
@@ -55,7 +57,8 @@
 	return list
 }
 
-// runCases runs the cases side by side; each is deterministic by itself.
+// runCases runs the cases concurrently. Each run is deterministic, so the order
+// does not matter.
 func runCases(list []gateCase) map[gateCase]simulation.Row {
 	rows := make(map[gateCase]simulation.Row)
 	var mu sync.Mutex
@@ -82,7 +85,8 @@
 	return rows
 }
 
-// check compares one figure with its target.
+// check is the result of comparing one value with its target. Its key identifies
+// it in KNOWN-RED.txt.
 type check struct {
 	key   string
 	value float64
@@ -94,16 +98,16 @@
 
 func atLeast(key string, value, bound float64) check { return check{key, value, bound, value >= bound} }
 
-// checks returns the targets of one law and load.
+// checks compares the rows of one length distribution and load with the targets.
 func checks(rows map[gateCase]simulation.Row, le simulation.Lengths, load float64) []check {
 	ro := rows[gateCase{simulation.Filbertstall, le, load, false}]
 	least := rows[gateCase{simulation.LeastInFlight, le, load, false}]
-	faulty := rows[gateCase{simulation.Filbertstall, le, load, true}]
+	withFaults := rows[gateCase{simulation.Filbertstall, le, load, true}]
 	at := fmt.Sprintf("%s %.1f ", le, load)
 	list := []check{
 		atMost(at+"cold_overload_count", float64(ro.ColdOverloadCount), 0),
-		atMost(at+"cold_overload_count with faults", float64(faulty.ColdOverloadCount), 0),
-		atMost(at+"endpoints_lost with faults", float64(faulty.EndpointsLost), 2),
+		atMost(at+"cold_overload_count with faults", float64(withFaults.ColdOverloadCount), 0),
+		atMost(at+"endpoints_lost with faults", float64(withFaults.EndpointsLost), 2),
 	}
 	if load < 1 {
 		oracle := rows[gateCase{simulation.Oracle, le, load, false}]
@@ -126,7 +130,7 @@
 	)
 }
 
-// peak is the oracle's highest goodput at any load.
+// peak returns the highest goodput of the Oracle policy at any load of the gate.
 func peak(rows map[gateCase]simulation.Row, le simulation.Lengths) float64 {
 	most := 0.0
 	for _, load := range gateLoads {
@@ -135,7 +139,7 @@
 	return most
 }
 
-// knownRed reads the cases that KNOWN-RED.txt lists for this test.
+// knownRed returns the keys of the checks that KNOWN-RED.txt lists for this test.
 func knownRed() []string {
 	fi, err := os.Open(knownRedFile)
 	if os.IsNotExist(err) {
@@ -178,8 +182,8 @@
 		Expect(seen).To(Equal(len(red)), "KNOWN-RED.txt lists a case that does not exist")
 	})
 
-	It("rest on a run that depends on nothing but its seed", func() {
-		op := simulation.Options{Policy: simulation.Filbertstall, Seed: 7, Lengths: simulation.Pareto, Load: 1.2, Duration: learning}
+	It("are compared with runs that are deterministic for a seed", func() {
+		op := simulation.Options{Policy: simulation.Filbertstall, Seed: 7, Lengths: simulation.Pareto, Load: 1.2, Duration: shortRun}
 		first, err := simulation.Run(op)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(simulation.Run(op)).To(Equal(first))
@@ -187,10 +191,10 @@
 		Expect(simulation.Run(op)).NotTo(Equal(first))
 	})
 
-	DescribeTable("stand on a load 1.0 at which the oracle's queue is bounded, and not much above",
+	DescribeTable("refer to a load 1.0 at 0.97 of which the oracle's queue is bounded, and at 1.25 of which it is not",
 		func(le simulation.Lengths) {
-			Expect(simulation.Bounded(le, simulation.Capacity(le)*0.97, searched)).To(BeTrue())
-			Expect(simulation.Bounded(le, simulation.Capacity(le)*1.25, searched)).To(BeFalse())
+			Expect(simulation.QueueBounded(le, simulation.Capacity(le)*0.97, boundRun)).To(BeTrue())
+			Expect(simulation.QueueBounded(le, simulation.Capacity(le)*1.25, boundRun)).To(BeFalse())
 		},
 		Entry("log-normal", simulation.LogNormal),
 		Entry("Pareto", simulation.Pareto),
--- a/internal/bench/simulation/run.go
+++ b/internal/bench/simulation/run.go
@@ -8,14 +8,14 @@
 	"filbertstall.example/filbertstall/internal/admission"
 )
 
-// Faults are what goes wrong in a run.
+// Faults selects the faults that are injected into a run.
 type Faults struct {
-	// Cold restarts one engine and lets another turn cold without warning.
+	// Cold restarts one engine and makes another one cold without a restart.
 	Cold bool
-	// Dying kills one engine for half a minute.
+	// Dying kills one engine, which restarts after 30 s.
 	Dying bool
-	// Crashing sends a request that crashes each engine that runs it, and
-	// sends it again.
+	// Crashing sends a request that crashes every engine that runs it, and
+	// resends it after each crash.
 	Crashing bool
 }
 
@@ -26,44 +26,50 @@
 	Lengths Lengths
 	// Load is the arrival rate as a share of Capacity.
 	Load float64
-	// Duration is the length of the run; zero means ten minutes.
+	// Duration is the virtual length of the run. Zero means ten minutes.
 	Duration time.Duration
 	Faults   Faults
-	// patient callers wait for ever, and no request is refused.
-	patient bool
-	// Trace is called every ten seconds of virtual time; it may be nil.
+	// noAbandonment lets callers wait without limit, and no request is refused.
+	noAbandonment bool
+	// Trace is called with the state of the engines every ten seconds of virtual
+	// time. It may be nil.
 	Trace func(text string)
 }
 
 const (
 	engineCount     = 12
 	defaultDuration = 10 * time.Minute
-	// learningTime at the start is not measured.
-	learningTime = time.Minute
-	// progressEvery is how often instances tell the allocator of new tokens.
-	progressEvery = 200 * time.Millisecond
-	// reportEvery and reportLag are of the engines' load reports.
-	reportEvery = time.Second
-	reportLag   = time.Second
-	traceEvery  = 10 * time.Second
+	// unmeasuredTime at the start of a run is excluded from the measurements,
+	// as the allocator learns answer lengths in it.
+	unmeasuredTime = time.Minute
+	// progressInterval is the interval at which instances report new tokens to
+	// the allocator.
+	progressInterval = 200 * time.Millisecond
+	// reportInterval and reportLag are the interval and the delay of the load
+	// reports of engines.
+	reportInterval = time.Second
+	reportLag      = time.Second
+	traceInterval  = 10 * time.Second
 )
 
-// run is one simulation.
+// run is the state of one simulation. Times are virtual, from zero.
 type run struct {
-	op      Options
-	now     time.Duration
-	end     time.Duration
-	events  agenda
-	engines []*engine
-	work    *workload
-	di      dispatcher
-	me      *measure
-	resends int
-	// unannounced engines turned cold a moment ago; nobody can know yet.
-	unannounced map[*engine]time.Duration
+	op       Options
+	now      time.Duration
+	end      time.Duration
+	events   eventQueue
+	engines  []*engine
+	workload *workload
+	di       dispatcher
+	me       *measurement
+	resends  int
+	// coldNoticedAt has, for engines that turned cold without a restart, the time
+	// from which the allocator can know. Overloads before it are not counted.
+	coldNoticedAt map[*engine]time.Duration
 }
 
-// Run simulates one case.
+// Run simulates one combination of options. It returns an error if the policy or
+// the lengths are unknown or the load is not positive.
 func Run(op Options) (Row, error) {
 	rate := Capacity(op.Lengths) * op.Load
 	if rate <= 0 {
@@ -77,31 +83,34 @@
 	return ru.me.row(op), nil
 }
 
+// newRun returns a run with its first events scheduled. The rate is in requests
+// per second.
 func newRun(op Options, rate float64) (*run, error) {
 	if op.Duration == 0 {
 		op.Duration = defaultDuration
 	}
-	ru := &run{op: op, end: op.Duration, unannounced: make(map[*engine]time.Duration)}
+	ru := &run{op: op, end: op.Duration, coldNoticedAt: make(map[*engine]time.Duration)}
 	for no := range engineCount {
 		ru.engines = append(ru.engines, newEngine(no))
 	}
-	ru.work = newWorkload(op.Seed, op.Lengths, rate)
-	ru.me = newMeasure(min(learningTime, op.Duration/4), op.Duration)
+	ru.workload = newWorkload(op.Seed, op.Lengths, rate)
+	ru.me = newMeasurement(min(unmeasuredTime, op.Duration/4), op.Duration)
 	di, err := newDispatcher(op.Policy, ru)
 	if err != nil {
 		return nil, err
 	}
 	ru.di = di
-	ru.arrival()
-	ru.every(progressEvery, di.progress)
-	ru.every(reportEvery, ru.report)
+	ru.scheduleArrival()
+	ru.every(progressInterval, di.progress)
+	ru.every(reportInterval, ru.report)
 	if op.Trace != nil {
-		ru.every(traceEvery, func() { op.Trace(ru.state()) })
+		ru.every(traceInterval, func() { op.Trace(ru.state()) })
 	}
-	ru.plan()
+	ru.scheduleFaults()
 	return ru, nil
 }
 
+// loop executes events in order until the end of the run.
 func (ru *run) loop() {
 	for ru.events.Len() > 0 {
 		ev := ru.events.next()
@@ -113,6 +122,7 @@
 	}
 }
 
+// every schedules do at intervals of du, the first time at du.
 func (ru *run) every(du time.Duration, do func()) {
 	var again func()
 	again = func() {
@@ -122,10 +132,11 @@
 	ru.events.add(du, again)
 }
 
-func (ru *run) arrival() {
-	jo := ru.work.next()
+// scheduleArrival draws the next job and schedules its arrival.
+func (ru *run) scheduleArrival() {
+	jo := ru.workload.next()
 	ru.events.add(jo.arrived, func() {
-		ru.arrival()
+		ru.scheduleArrival()
 		ru.submit(jo)
 	})
 }
@@ -134,31 +145,33 @@
 	if ru.me.within(jo.arrived) {
 		ru.me.arrived++
 	}
-	if !ru.op.patient {
-		ru.events.add(jo.arrived+jo.patience(), func() { ru.impatient(jo) })
+	if !ru.op.noAbandonment {
+		ru.events.add(jo.arrived+jo.patience(), func() { ru.abandonIfWaiting(jo) })
 	}
 	ru.di.submit(jo)
 }
 
-// impatient lets a caller hang up that has seen no token yet.
-func (ru *run) impatient(jo *job) {
-	if jo.over || jo.first > 0 {
+// abandonIfWaiting lets the caller hang up if the job has not received its first
+// token.
+func (ru *run) abandonIfWaiting(jo *job) {
+	if jo.finished || jo.firstToken > 0 {
 		return
 	}
-	ru.di.hungUp(jo)
-	ru.refuse(jo)
+	ru.di.abandoned(jo)
+	ru.endUnanswered(jo)
 }
 
-// refuse ends a job that gets no answer.
-func (ru *run) refuse(jo *job) {
-	if jo.over {
+// endUnanswered ends a job that was refused or abandoned.
+func (ru *run) endUnanswered(jo *job) {
+	if jo.finished {
 		return
 	}
-	jo.over = true
-	ru.me.gaveUp(jo)
+	jo.finished = true
+	ru.me.recordUnanswered(jo)
 }
 
-// dispatch sends a job to an engine.
+// dispatch sends a job to an engine. If the engine is down, the job is submitted
+// again for another engine.
 func (ru *run) dispatch(jo *job, en *engine) {
 	if !en.alive {
 		ru.di.ended(jo, admission.NotBegun)
@@ -166,23 +179,23 @@
 		ru.di.submit(jo)
 		return
 	}
-	if until, found := ru.unannounced[en]; en.overloaded() && (!found || ru.now > until) {
-		ru.me.coldOver++
+	if until, found := ru.coldNoticedAt[en]; en.overloaded() && (!found || ru.now > until) {
+		ru.me.coldOverloads++
 	}
 	if ru.me.within(ru.now) {
-		ru.me.begun++
+		ru.me.dispatched++
 	}
 	en.submit(jo)
-	ru.step(en)
+	ru.startStep(en)
 }
 
-// step begins a step of an idle engine.
-func (ru *run) step(en *engine) {
+// startStep starts a step unless the engine is down or executes one.
+func (ru *run) startStep(en *engine) {
 	if en.stepping || !en.alive {
 		return
 	}
 	before := en.preempted
-	du, busy := en.begin()
+	du, busy := en.beginStep()
 	if ru.me.within(ru.now) {
 		ru.me.preempted += int(en.preempted - before)
 	}
@@ -191,112 +204,117 @@
 	}
 	en.stepping, en.duration = true, du
 	boot := en.boot
-	ru.events.add(ru.now+du, func() { ru.stepped(en, boot) })
+	ru.events.add(ru.now+du, func() { ru.finishStep(en, boot) })
 }
 
-// stepped ends a step: each running job gets a token.
-func (ru *run) stepped(en *engine, boot int) {
+// finishStep ends a step, in which each running job receives a token. It ignores
+// steps that a crash or restart of the engine interrupted.
+func (ru *run) finishStep(en *engine, boot int) {
 	if en.boot != boot || !en.alive {
 		return
 	}
 	en.stepping = false
-	en.tokens()
+	en.emitTokens()
 	steady := 0
 	kept := en.running[:0]
 	var ended []*job
 	for _, jo := range en.running {
-		if jo.last == ru.now-en.duration && jo.first > 0 {
+		if jo.lastToken == ru.now-en.duration && jo.firstToken > 0 {
 			steady++
 		} else {
-			ru.resumed(jo)
+			ru.recordPause(jo)
 		}
-		jo.last = ru.now
+		jo.lastToken = ru.now
 		if jo.done < jo.length {
 			kept = append(kept, jo)
 			continue
 		}
-		en.used -= jo.held
+		en.used -= jo.heldTokens
 		ended = append(ended, jo)
 	}
 	en.running = kept
 	if ru.me.within(ru.now) {
-		ru.me.gap(en.duration, steady)
+		ru.me.recordGap(en.duration, steady)
 	}
-	if en.duration > visiblePause {
+	if en.duration > stallThreshold {
 		for _, jo := range en.running {
-			jo.stalled += en.duration - visiblePause
+			jo.stalled += en.duration - stallThreshold
 		}
 	}
-	if jo := en.culprit(); jo != nil {
-		ru.me.lost++
+	if jo := en.crashingJob(); jo != nil {
+		ru.me.enginesLost++
 		ru.kill(en)
 		return
 	}
-	ru.step(en)
+	ru.startStep(en)
 	for _, jo := range ended {
-		jo.over = true
+		jo.finished = true
 		ru.me.ended(ru.now, jo)
 		ru.di.ended(jo, admission.Whole)
 	}
 }
 
-// resumed takes in the first token of a job, or the first after a pause.
-func (ru *run) resumed(jo *job) {
-	if jo.first == 0 {
-		jo.first = ru.now
-		ru.me.began(jo)
+// recordPause records the time to the first token of a job, or the gap before its
+// first token after a pause.
+func (ru *run) recordPause(jo *job) {
+	if jo.firstToken == 0 {
+		jo.firstToken = ru.now
+		ru.me.recordFirstToken(jo)
 		return
 	}
-	gap := ru.now - jo.last
+	gap := ru.now - jo.lastToken
 	if ru.me.within(ru.now) {
-		ru.me.gap(gap, 1)
+		ru.me.recordGap(gap, 1)
 	}
-	jo.stalled += max(gap-visiblePause, 0)
+	jo.stalled += max(gap-stallThreshold, 0)
 }
 
-// kill stops an engine; a new process is up, cold, half a minute later.
+// kill stops an engine. It restarts in the cold state after restartAfter (30 s).
 func (ru *run) kill(en *engine) {
 	list := en.stop()
 	en.stepping = false
 	ru.events.add(ru.now+restartAfter, en.start)
 	for _, jo := range list {
-		ru.lost(jo, en)
+		ru.requeueLost(jo, en)
 	}
 }
 
-// lost lets a job go on elsewhere. A culprit's caller sees the failure and
-// sends the request again.
-func (ru *run) lost(jo *job, en *engine) {
-	jo.held = 0
+// requeueLost resubmits a job that lost its engine, so that it continues on
+// another one. The caller of a crashing job observes the failure and resends the
+// request.
+func (ru *run) requeueLost(jo *job, en *engine) {
+	jo.heldTokens = 0
 	ru.di.ended(jo, admission.Lost)
 	jo.excluded = append(jo.excluded, en.name)
-	if !jo.culprit {
+	if !jo.crashesEngine {
 		ru.di.submit(jo)
 		return
 	}
-	ru.refuse(jo)
+	ru.endUnanswered(jo)
 	ru.resend(jo)
 }
 
 const (
 	restartAfter = 30 * time.Second
 	resendAfter  = time.Second
-	maxResends   = 8
+	// maxResends limits the resends of crashing requests in a run.
+	maxResends = 8
 )
 
+// resend schedules a copy of a crashing job, as its caller would send it again.
 func (ru *run) resend(jo *job) {
 	if ru.resends == maxResends {
 		return
 	}
 	ru.resends++
-	again := &job{
+	retry := &job{
 		id: jo.id + "+" + strconv.Itoa(ru.resends), team: jo.team, arrived: ru.now + resendAfter,
-		prompt: jo.prompt, length: jo.length, culprit: true, fingerprint: jo.fingerprint,
+		prompt: jo.prompt, length: jo.length, crashesEngine: true, fingerprint: jo.fingerprint,
 	}
-	ru.events.add(again.arrived, func() { ru.submit(again) })
+	ru.events.add(retry.arrived, func() { ru.submit(retry) })
 }
 
-// report lets each engine's load arrive after the lag.
+// report samples the load of each engine and delivers it after reportLag.
 func (ru *run) report() {
 	for _, en := range ru.engines {
 		if !en.alive {
@@ -307,6 +325,8 @@
 	}
 }
 
+// state formats, for each engine, thousands of tokens in memory, running and
+// waiting jobs, followed by the state of the dispatcher.
 func (ru *run) state() string {
 	text := fmt.Sprintf("t=%v", ru.now)
 	for _, en := range ru.engines {
--- a/internal/bench/simulation/workload.go
+++ b/internal/bench/simulation/workload.go
@@ -7,41 +7,43 @@
 	"time"
 )
 
-// Lengths names a distribution of the lengths of long answers.
+// Lengths names a distribution of the lengths of long answers, in tokens.
 type Lengths string
 
-// The length laws.
+// The length distributions.
 const (
 	// LogNormal has a median of 500 tokens and a sigma of 1.
 	LogNormal Lengths = "lognormal"
-	// Pareto has a shape of 1.5 and begins at 190 tokens.
+	// Pareto has a shape of 1.5 and a minimum of 190 tokens.
 	Pareto Lengths = "pareto"
-	// Bimodal has a median of 300 tokens, and of 5,000 for 15 of 100 answers.
+	// Bimodal has a median of 300 tokens for 85 % of answers and of 5,000 tokens
+	// for 15 %.
 	Bimodal Lengths = "bimodal"
 )
 
-// AllLengths lists the length laws.
+// AllLengths returns the length distributions.
 func AllLengths() []Lengths { return []Lengths{LogNormal, Pareto, Bimodal} }
 
 const (
-	longestAnswer = 16384
-	// shortShare of the arrivals are short calls: lookups, clause questions
-	// and status checks.
-	shortShare                      = 0.2
-	shortestLookup, longestLookup   = 8, 48
-	lookupPromptLow, lookupPrompt   = 50, 200
-	chapterPromptLow, chapterPrompt = 100, 800
-	// LongPatience and shortPatience are how long callers wait for the first
-	// token before they hang up.
+	maxAnswerTokens = 16384
+	// shortShare is the share of arrivals that are short calls, such as lookups,
+	// clause questions and status checks.
+	shortShare                         = 0.2
+	minLookupTokens, maxLookupTokens   = 8, 48
+	minLookupPrompt, maxLookupPrompt   = 50, 200
+	minChapterPrompt, maxChapterPrompt = 100, 800
+	// LongPatience and shortPatience are the time that callers of long and short
+	// calls wait for the first token before they hang up.
 	LongPatience  = 10 * time.Second
 	shortPatience = time.Second
-	// A whole answer is in time if it took no longer than the patience and
-	// this for each token.
+	// timePerToken, multiplied by the length of the answer, is added to the
+	// patience to give the deadline of a complete answer.
 	timePerToken = 60 * time.Millisecond
-	// FirstTokenTarget is the time to the first token that callers are promised.
+	// FirstTokenTarget is the target for the time to the first token.
 	FirstTokenTarget = 840 * time.Millisecond
 )
 
+// draw returns a random length, at least 1 and at most maxAnswerTokens.
 func (le Lengths) draw(rn *rand.Rand) int {
 	var length float64
 	switch le {
@@ -56,10 +58,10 @@
 	default:
 		length = 500 * math.Exp(rn.NormFloat64())
 	}
-	return min(max(int(length), 1), longestAnswer)
+	return min(max(int(length), 1), maxAnswerTokens)
 }
 
-// teamShares are the shares of the arrivals: two large teams and eight small.
+// teamShares has the share of arrivals of each team, two large and eight small.
 var teamShares = []float64{0.3, 0.3, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05}
 
 func drawTeam(rn *rand.Rand) string {
@@ -73,7 +75,7 @@
 	return "team-0"
 }
 
-// job is one request of a caller.
+// job is one request of a caller. Times are virtual, lengths are in tokens.
 type job struct {
 	id      string
 	team    string
@@ -81,20 +83,28 @@
 	short   bool
 	prompt  int
 	length  int
-	// culprit jobs crash each engine that runs them.
-	culprit     bool
-	fingerprint uint64
-
-	done     int
-	begun    int
-	at       *engine
+	// crashesEngine is true for jobs that crash every engine that runs them.
+	crashesEngine bool
+	fingerprint   uint64
+
+	// done is the number of generated tokens, and doneAtStart its value when the
+	// job was submitted to its current engine.
+	done        int
+	doneAtStart int
+	// engine is the engine that has the job. It is nil while the job is queued at
+	// the allocator.
+	engine   *engine
 	priority int
-	held     int
-	// first is when the first token came, last when the last one did.
-	first, last time.Duration
-	stalled     time.Duration
-	over        bool
-	excluded    []string
+	// heldTokens is the memory that the job occupies on its engine.
+	heldTokens int
+	// firstToken and lastToken are the times of the first and the latest token,
+	// zero before the first.
+	firstToken, lastToken time.Duration
+	// stalled is the sum of the parts of gaps that exceed stallThreshold.
+	stalled  time.Duration
+	finished bool
+	// excluded has the names of engines that must not run the job again.
+	excluded []string
 }
 
 func (jo *job) patience() time.Duration {
@@ -104,8 +114,8 @@
 	return LongPatience
 }
 
-// due is when the whole answer is too late.
-func (jo *job) due() time.Duration {
+// deadline is the latest time at which the complete answer counts as goodput.
+func (jo *job) deadline() time.Duration {
 	return jo.arrived + jo.patience() + time.Duration(jo.length)*timePerToken
 }
 
@@ -116,34 +126,34 @@
 	return "chapter"
 }
 
-// workload draws the arrivals.
+// workload draws jobs with Poisson arrivals from a seed.
 type workload struct {
-	rn      *rand.Rand
-	lengths Lengths
-	rate    float64
-	count   int
-	at      time.Duration
+	rn          *rand.Rand
+	lengths     Lengths
+	rate        float64
+	count       int
+	lastArrival time.Duration
 }
 
 func newWorkload(seed uint64, le Lengths, rate float64) *workload {
 	return &workload{rn: rand.New(rand.NewPCG(seed, 1)), lengths: le, rate: rate}
 }
 
-// next returns the job that arrives after the one before.
+// next returns the next job in order of arrival.
 func (wo *workload) next() *job {
-	wo.at += time.Duration(wo.rn.ExpFloat64() / wo.rate * float64(time.Second))
+	wo.lastArrival += time.Duration(wo.rn.ExpFloat64() / wo.rate * float64(time.Second))
 	wo.count++
 	jo := &job{
-		id: strconv.Itoa(wo.count), team: drawTeam(wo.rn), arrived: wo.at,
+		id: strconv.Itoa(wo.count), team: drawTeam(wo.rn), arrived: wo.lastArrival,
 		short: wo.rn.Float64() < shortShare, fingerprint: uint64(wo.count),
 	}
 	length := wo.lengths.draw(wo.rn)
 	if jo.short {
-		jo.prompt = lookupPromptLow + wo.rn.IntN(lookupPrompt-lookupPromptLow)
-		jo.length = shortestLookup + wo.rn.IntN(longestLookup-shortestLookup)
+		jo.prompt = minLookupPrompt + wo.rn.IntN(maxLookupPrompt-minLookupPrompt)
+		jo.length = minLookupTokens + wo.rn.IntN(maxLookupTokens-minLookupTokens)
 		return jo
 	}
-	jo.prompt = chapterPromptLow + wo.rn.IntN(chapterPrompt-chapterPromptLow)
+	jo.prompt = minChapterPrompt + wo.rn.IntN(maxChapterPrompt-minChapterPrompt)
 	jo.length = length
 	return jo
 }
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -10,17 +10,19 @@
 	"filbertstall.example/filbertstall/internal/slope"
 )
 
-// slopes carries measured slopes to the size that the design is for.
+// slopes is the command that extrapolates measurements linearly to the size that
+// the design targets.
 type slopes struct{ out io.Writer }
 
-// slopeRow is one line of the capacity table.
+// slopeRow is one row of the capacity table.
 type slopeRow struct {
 	role, quantity, unit string
-	// series and metric name the measurement.
+	// series and metric select the measurement.
 	series, metric string
-	// at is the size to carry to, times multiplies what is found there.
-	at, times float64
-	// limit is zero where none is stated.
+	// size is the size to extrapolate to. The extrapolated value is multiplied
+	// by factor, which converts it to unit.
+	size, factor float64
+	// limit is zero if no limit is stated.
 	limit     float64
 	mechanism string
 }
@@ -31,7 +33,7 @@
 	secondsPerDay   = 86400
 )
 
-// slopeRows is the table, role by role.
+// slopeRows returns the rows of the table, ordered by role.
 func slopeRows(ta target) []slopeRow {
 	daemonTokens := ta.perDaemon(ta.tokensPerSecond)
 	groupRequests := ta.requestsPerSecond / ta.groups()
@@ -40,12 +42,12 @@
 	return []slopeRow{
 		{"entry relay", "processor time", "cores", "relay", "cpu_us_per_s", daemonTokens, 1 / microsPerSecond, 0, "one read and one write of the kernel for each token"},
 		{"entry relay", "memory of open streams", "MB", "streams", "held_bytes", ta.perDaemon(ta.openStreams()), 1e-6, 0, "fixed buffers of a stream"},
-		{"allocator", "processor time of decisions", "cores", "grant", "ns_per_grant", groupEndpoints, groupRequests / nanosPerSecond, controlCore, "ordered index over endpoints, survival curves"},
+		{"allocator", "processor time of decisions", "cores", "grant", "ns_per_grant", groupEndpoints, groupRequests / nanosPerSecond, controlCores, "ordered index over endpoints, survival curves"},
 		{"allocator", "messages of its group", "1/s", "allocation", "messages_per_s", groupRequests, 1, 0, "grants and batched progress"},
 		{"allocator", "bytes of its group", "KB/s", "allocation", "bytes_per_s", groupRequests, 1e-3, controlBytesPerSec / 1e3, "grants and batched progress"},
 		{"watcher", "size of the configuration", "MB", "configuration", "json_bytes", ta.replicas, 1e-6, 0, "shards by content"},
 		{"watcher", "memory of one version", "MB", "configuration", "heap_bytes", ta.replicas, 1e-6, controlBytes / 1e6, "one immutable version and its indexes"},
-		{"watcher", "decoding of changes", "cores", "configuration", "decode_us", ta.replicas, changes / microsPerSecond, controlCore, "whole decode for each change"},
+		{"watcher", "decoding of changes", "cores", "configuration", "decode_us", ta.replicas, changes / microsPerSecond, controlCores, "whole decode for each change"},
 		{"peer", "messages of a daemon", "1/s", "control", "messages_per_s", ta.daemons, 1, 0, "mesh in a zone, sparse between zones"},
 		{"peer", "payload of a daemon", "KB/s", "control", "bytes_per_s", ta.daemons, 1e-3, 0, "the same"},
 		{"peer", "payload and headers of a daemon", "KB/s", "control", "wire_bytes_per_s", ta.daemons, 1e-3, controlBytesPerSec / 1e3, "104 bytes of headers a message"},
@@ -56,8 +58,8 @@
 	}
 }
 
-// Execute implements flags.Commander. It reads the output of tests on
-// standard input.
+// Execute implements flags.Commander. It reads test output with measurements from
+// standard input and prints a Markdown table.
 func (sl *slopes) Execute([]string) error {
 	me, err := slope.Read(os.Stdin)
 	if err != nil {
@@ -66,45 +68,47 @@
 	_, _ = fmt.Fprintln(sl.out, "| role | quantity | measured at | slope | at the target | limit | carried by |")
 	_, _ = fmt.Fprintln(sl.out, "| --- | --- | --- | --- | --- | --- | --- |")
 	over := 0
-	for _, ro := range slopeRows(twoYears) {
+	for _, ro := range slopeRows(designTarget) {
 		fi, ok := me.Fit(ro.series, ro.metric)
 		if !ok {
 			_, _ = fmt.Fprintf(sl.out, "| %s | %s, %s | not measured | | | | %s |\n", ro.role, ro.quantity, ro.unit, ro.mechanism)
 			continue
 		}
-		value := fi.At(ro.at) * ro.times
+		value := fi.At(ro.size) * ro.factor
 		_, _ = fmt.Fprintf(sl.out, "| %s | %s, %s | %s | %s per unit | %s at %s | %s | %s |\n", ro.role, ro.quantity, ro.unit,
-			describePoints(fi.Points), short(fi.Slope), short(value), short(ro.at), ro.verdict(value, &over), ro.mechanism)
+			describePoints(fi.Points), formatValue(fi.Slope), formatValue(value), formatValue(ro.size), ro.limitText(value, &over), ro.mechanism)
 	}
 	_, _ = fmt.Fprintf(sl.out, "\n%d quantities over their limit.\n", over)
 	return nil
 }
 
-func (ro slopeRow) verdict(value float64, over *int) string {
+// limitText formats the limit, and marks it and increments over if value exceeds
+// it.
+func (ro slopeRow) limitText(value float64, over *int) string {
 	switch {
 	case ro.limit == 0:
 		return "none stated"
 	case value > ro.limit:
 		*over++
-		return short(ro.limit) + ", **over**"
+		return formatValue(ro.limit) + ", **over**"
 	default:
-		return short(ro.limit)
+		return formatValue(ro.limit)
 	}
 }
 
 func describePoints(points []slope.Point) string {
 	parts := make([]string, 0, len(points))
 	for _, po := range points {
-		part := short(po.Median) + " at " + short(po.Size)
+		part := formatValue(po.Median) + " at " + formatValue(po.Size)
 		if po.Least < po.Most {
-			part += " (" + short(po.Least) + " to " + short(po.Most) + ")"
+			part += " (" + formatValue(po.Least) + " to " + formatValue(po.Most) + ")"
 		}
 		parts = append(parts, part)
 	}
 	return strings.Join(parts, "; ")
 }
 
-// shortDigits is how many digits of a value the table shows.
-const shortDigits = 3
+// significantDigits is the precision of values in the table.
+const significantDigits = 3
 
-func short(value float64) string { return strconv.FormatFloat(value, 'g', shortDigits, 64) }
+func formatValue(value float64) string { return strconv.FormatFloat(value, 'g', significantDigits, 64) }
--- a/internal/bench/smoke.go
+++ b/internal/bench/smoke.go
@@ -16,18 +16,20 @@
 	"filbertstall.example/filbertstall/internal/scenario"
 )
 
-// smoke runs deployments through failures.
+// smoke is the command that runs the failure scenarios, each on a deployment of
+// its own.
 type smoke struct {
 	location
 	Only []string `long:"only" value-name:"NAME" description:"Run only this scenario; repeat for more"`
-	// KnownRed names a file whose lines "smoke SCENARIO: FAULT; ..." list
-	// faults that are printed and passed over.
+	// KnownRed names a file whose lines "smoke SCENARIO: FAULT; ..." list known
+	// faults. These are printed and do not fail the scenario.
 	KnownRed string `long:"known-red" value-name:"FILE" description:"List of faults to print and pass over"`
 	JSON     string `long:"json" value-name:"FILE" description:"Write the results to this file"`
 }
 
-// errScenarios says that at least one promise was broken.
-var errScenarios = errors.New("a scenario failed")
+// errScenarioFailed is returned if at least one scenario violated an invariant
+// that is not a known fault.
+var errScenarioFailed = errors.New("a scenario failed")
 
 // Execute implements flags.Commander.
 func (sm *smoke) Execute([]string) error {
@@ -41,7 +43,8 @@
 	return sm.runAll(ctx, dir, scenario.All())
 }
 
-// runAll runs scenarios one after the other.
+// runAll runs the scenarios sequentially, prints and saves their results, and
+// returns errScenarioFailed if any failed.
 func (sm *smoke) runAll(ctx context.Context, dir string, list []scenario.Scenario) error {
 	known, err := sm.readKnown()
 	if err != nil {
@@ -65,12 +68,12 @@
 	}
 	_, _ = fmt.Fprintf(sm.out, "%d passed, %d failed\n", len(results)-failed, failed)
 	if failed > 0 {
-		return errScenarios
+		return errScenarioFailed
 	}
 	return nil
 }
 
-// soak runs one deployment through random faults.
+// soak is the command that injects random faults into one deployment.
 type soak struct {
 	smoke
 	Seed     uint64        `long:"seed" default:"1" description:"Seed of the faults"`
@@ -89,7 +92,8 @@
 	return so.runAll(ctx, dir, []scenario.Scenario{scenario.Soak(so.Seed, so.Duration)})
 }
 
-// readKnown returns the lines of the list of known faults, if there is one.
+// readKnown returns the lines of the list of known faults. It returns nil if no
+// list is given or the file does not exist.
 func (sm *smoke) readKnown() ([]string, error) {
 	if sm.KnownRed == "" {
 		return nil, nil
@@ -101,8 +105,9 @@
 	return strings.Split(string(data), "\n"), err
 }
 
-// allKnown tells whether each fault of a result is listed. The count in front
-// of a fault may differ.
+// allKnown reports whether every fault of a result is listed, and prints the
+// listed faults. The count at the start of a fault is not compared, as it varies
+// between runs.
 func (sm *smoke) allKnown(known []string, re scenario.Result) bool {
 	for _, fault := range re.Faults {
 		_, what, _ := strings.Cut(fault, " ")
@@ -137,7 +142,7 @@
 	}
 }
 
-// maxNotes bounds the notes that are printed for one scenario.
+// maxNotes is the number of notes that are printed for one scenario.
 const maxNotes = 5
 
 func (sm *smoke) save(results []scenario.Result) error {
--- a/internal/bench/streamcost.go
+++ b/internal/bench/streamcost.go
@@ -16,7 +16,8 @@
 	"filbertstall.example/filbertstall/pkg/client"
 )
 
-// streamCost measures one entry instance with open streams.
+// streamCost is the command that measures the processor time, system calls and
+// memory of one entry instance with open streams.
 type streamCost struct {
 	location
 	Streams int           `long:"streams" default:"200" description:"Streams that are open"`
@@ -26,7 +27,7 @@
 	Measure time.Duration `long:"measure" default:"5s" description:"How long to measure"`
 }
 
-// streamCostResult is what the entry's process used.
+// streamCostResult holds the resource usage of the entry instance's process.
 type streamCostResult struct {
 	Streams         int     `json:"streams"`
 	Tokens          int64   `json:"tokens"`
@@ -65,6 +66,8 @@
 	return json.NewEncoder(sc.out).Encode(re)
 }
 
+// run opens all streams, waits until each has received a token, and measures
+// for sc.Measure.
 func (sc *streamCost) run(ctx context.Context, fl *fleet.Fleet) (streamCostResult, error) {
 	re := streamCostResult{Streams: sc.Streams}
 	pid := fl.Report.Entries[0].PID
@@ -76,11 +79,11 @@
 	var wg sync.WaitGroup
 	var tokens, open atomic.Int64
 	for range sc.Streams {
-		wg.Go(func() { readFor(ctx, cl, &tokens, &open) })
+		wg.Go(func() { readUntilCanceled(ctx, cl, &tokens, &open) })
 		time.Sleep(time.Millisecond)
 	}
 	for open.Load() < int64(sc.Streams) {
-		time.Sleep(readyWait)
+		time.Sleep(openPoll)
 	}
 	before, err := readUsage(pid)
 	if err != nil {
@@ -101,14 +104,16 @@
 }
 
 const (
-	readyWait = 50 * time.Millisecond
-	// endlessTokens outlasts any measurement.
-	endlessTokens = 1000000
+	// openPoll is the interval of checks whether all streams are open.
+	openPoll = 50 * time.Millisecond
+	// unboundedTokens is an answer length that no measurement reaches.
+	unboundedTokens = 1000000
 )
 
-// readFor reads one stream until ctx ends.
-func readFor(ctx context.Context, cl *client.Client, tokens, open *atomic.Int64) {
-	body := fmt.Appendf(nil, `{"model":"filbert","prompt":"Explain chapter 7.","stream":true,"max_tokens":%d}`, endlessTokens)
+// readUntilCanceled reads one stream until ctx is canceled or the stream fails. It
+// increments open at the first token and tokens at every token.
+func readUntilCanceled(ctx context.Context, cl *client.Client, tokens, open *atomic.Int64) {
+	body := fmt.Appendf(nil, `{"model":"filbert","prompt":"Explain chapter 7.","stream":true,"max_tokens":%d}`, unboundedTokens)
 	st := cl.Generate(ctx, client.Generation{Path: "/v1/completions", Body: body})
 	defer st.Close()
 	for {
@@ -122,15 +127,16 @@
 	}
 }
 
-// processUsage is what a process has used so far.
+// processUsage holds the cumulative resource usage of a process.
 type processUsage struct {
 	user, system  float64 // seconds
-	reads, writes float64
-	resident      int64 // bytes
+	reads, writes float64 // system calls
+	resident      int64   // bytes
 }
 
-// clockTicks is the unit of processor time in /proc, per second.
-const clockTicks = 100
+// clockTicksPerSecond is the number of units of processor time in /proc/PID/stat
+// per second.
+const clockTicksPerSecond = 100
 
 func readUsage(pid int) (processUsage, error) {
 	var us processUsage
@@ -143,21 +149,22 @@
 	}
 	_, rest, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(rest)
-	us.user, us.system = number(fields[11])/clockTicks, number(fields[12])/clockTicks
+	us.user, us.system = parseFloat(fields[11])/clockTicksPerSecond, parseFloat(fields[12])/clockTicksPerSecond
 	for line := range strings.Lines(string(calls)) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		switch name {
 		case "syscr":
-			us.reads = number(value)
+			us.reads = parseFloat(value)
 		case "syscw":
-			us.writes = number(value)
+			us.writes = parseFloat(value)
 		}
 	}
-	us.resident = int64(number(strings.Fields(string(memory))[1])) * int64(os.Getpagesize())
+	us.resident = int64(parseFloat(strings.Fields(string(memory))[1])) * int64(os.Getpagesize())
 	return us, nil
 }
 
-func number(text string) float64 {
+// parseFloat returns zero for text that is not a number.
+func parseFloat(text string) float64 {
 	value, _ := strconv.ParseFloat(text, 64)
 	return value
 }
--- a/internal/bench/survival.go
+++ b/internal/bench/survival.go
@@ -16,7 +16,8 @@
 	"filbertstall.example/filbertstall/pkg/client"
 )
 
-// survival breaks parts of a deployment under open streams.
+// survival is the command that injects a fault into a deployment with open
+// streams and counts the answers that still complete.
 type survival struct {
 	location
 	Engines int           `long:"engines" default:"12" description:"Engines of the deployment"`
@@ -29,18 +30,20 @@
 	After   time.Duration `long:"after" default:"500ms" description:"From the last stream's first token to the fault"`
 }
 
-// survivalResult is what the callers saw.
+// survivalResult is the JSON result of the survival command, as callers observed
+// it.
 type survivalResult struct {
 	Streams int `json:"streams"`
-	// Hit streams ran on an engine that died.
+	// Hit counts generations that ran on an engine when it was killed.
 	Hit   int `json:"hit"`
 	Whole int `json:"whole"`
-	// Ended streams got a problem, Wrong ones a token that was not due.
+	// Ended counts streams that failed with an error, Wrong those that received
+	// an unexpected token or too few tokens.
 	Ended int `json:"ended"`
 	Wrong int `json:"wrong"`
-	// Problem is the first of them.
+	// Problem is the error of the last stream counted in Ended.
 	Problem string `json:"problem,omitempty"`
-	// Resumed counts connections of callers after the first.
+	// Resumed counts the reconnections of callers.
 	Resumed  int     `json:"resumed"`
 	GapP50MS float64 `json:"longest_gap_ms_p50"`
 	GapMaxMS float64 `json:"longest_gap_ms_max"`
@@ -62,7 +65,7 @@
 		return err
 	}
 	re, err := su.run(ctx, fl)
-	_ = fl.Stop() // killed processes do not stop in order
+	_ = fl.Stop() // ignored, as killed processes do not exit with code 0
 	if err != nil {
 		return err
 	}
@@ -80,7 +83,7 @@
 	gaps := newLatency()
 	var open atomic.Int64
 	for range su.Streams {
-		time.Sleep(streamPause)
+		time.Sleep(arrivalInterval)
 		wg.Go(func() {
 			gap, resumes, err := su.read(ctx, cl, &open)
 			mu.Lock()
@@ -91,10 +94,10 @@
 		})
 	}
 	for open.Load() < int64(su.Streams) {
-		time.Sleep(streamPause)
+		time.Sleep(arrivalInterval)
 	}
 	time.Sleep(su.After)
-	hit, err := su.breakParts(ctx, fl)
+	hit, err := su.injectFault(ctx, fl)
 	wg.Wait()
 	re.Hit = hit
 	re.GapP50MS, re.GapMaxMS = milliseconds(gaps, 0.5), milliseconds(gaps, 1)
@@ -102,9 +105,10 @@
 }
 
 const (
-	// streamPause is the pause between arrivals, so that engines warm up.
-	streamPause = 30 * time.Millisecond
-	// maxAttempts outlasts refusals while engines are cold.
+	// arrivalInterval is the pause between arrivals, which lets engines warm up.
+	arrivalInterval = 30 * time.Millisecond
+	// maxAttempts is high enough for callers to get through refusals while
+	// engines are cold.
 	maxAttempts = 20
 )
 
@@ -122,18 +126,19 @@
 	}
 }
 
-// read streams one generation and returns its longest gap between tokens.
+// read streams one generation. It returns the longest gap between tokens and the
+// number of reconnections, and increments open at the first token.
 func (su *survival) read(ctx context.Context, cl *client.Client, open *atomic.Int64) (gap time.Duration, resumes int, err error) {
 	body := fmt.Appendf(nil, `{"model":"filbert","prompt":"Explain chapter 7.","stream":true,"max_tokens":%d}`, su.Tokens)
 	st := cl.Generate(ctx, client.Generation{Path: "/v1/completions", Body: body})
 	defer st.Close()
-	var seen scenario.TokenCheck
+	var tc scenario.TokenCheck
 	var last time.Time
 	for {
 		ev, err := st.Next()
 		if errors.Is(err, io.EOF) {
-			if seen.Tokens != su.Tokens {
-				err = fmt.Errorf("%w: end at %d", errWrongToken, seen.Tokens)
+			if tc.Tokens != su.Tokens {
+				err = fmt.Errorf("%w: end at %d", errWrongToken, tc.Tokens)
 				return gap, st.Resumes, err
 			}
 			return gap, st.Resumes, nil
@@ -147,15 +152,15 @@
 			gap = max(gap, time.Since(last))
 		}
 		last = time.Now()
-		if err := seen.Take(ev.Data); err != nil {
+		if err := tc.Check(ev.Data); err != nil {
 			return gap, st.Resumes, fmt.Errorf("%w: %w", errWrongToken, err)
 		}
 	}
 }
 
-// breakParts brings the fault about and returns how many generations ran on
-// the engines that died.
-func (su *survival) breakParts(ctx context.Context, fl *fleet.Fleet) (hit int, err error) {
+// injectFault silences all engine connections, or kills engines and entry
+// instances. It returns the number of generations that ran on the killed engines.
+func (su *survival) injectFault(ctx context.Context, fl *fleet.Fleet) (hit int, err error) {
 	if su.Silent {
 		for _, en := range fl.Report.Endpoints {
 			if err := fleet.SetFault(ctx, en.URL, "silent", ""); err != nil {
--- a/internal/bench/target.go
+++ b/internal/bench/target.go
@@ -1,25 +1,29 @@
 package bench
 
-// target is the size that the design is for.
+// target is the deployment size that the design has to support.
 type target struct {
 	daemons, replicas, accelerators float64
 	requestsPerSecond               float64
 	tokensPerSecond                 float64
-	// tokensPerStream is the pace of one stream at the promised 41 ms.
+	// tokensPerStream is the rate of one stream, in tokens per second, at the
+	// target of 41 ms between tokens.
 	tokensPerStream float64
 	teams, models   float64
 	regions, zones  float64
 	changesPerDay   float64
 }
 
-var twoYears = target{
+// designTarget is the size expected in two years.
+var designTarget = target{
 	daemons: 340, replicas: 1200, accelerators: 4600, requestsPerSecond: 3800, tokensPerSecond: 1e6,
 	tokensPerStream: 1 / 0.041, teams: 290, models: 5, regions: 4, zones: 8, changesPerDay: 1900,
 }
 
-// The limits of a daemon's control, and of the platform as a whole.
+// Resource limits for the control traffic of one daemon (cores, bytes of memory,
+// bytes per second) and for the platform as a whole (operations per second,
+// bytes of a value).
 const (
-	controlCore        = 0.011
+	controlCores       = 0.011
 	controlBytes       = 128e6
 	controlBytesPerSec = 27e3
 	platformReads      = 2000
@@ -27,10 +31,11 @@
 	platformValue      = 1 << 20
 )
 
-func (ta target) perDaemon(whole float64) float64 { return whole / ta.daemons }
+func (ta target) perDaemon(total float64) float64 { return total / ta.daemons }
 
-// groups is the number of pairs of a zone and a model, each with an allocator.
+// groups is the number of pairs of a zone and a model. Each pair has its own
+// allocator.
 func (ta target) groups() float64 { return ta.models * ta.zones }
 
-// openStreams is how many streams are open at once in the whole deployment.
+// openStreams is the number of concurrently open streams in the whole deployment.
 func (ta target) openStreams() float64 { return ta.tokensPerSecond / ta.tokensPerStream }
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,6 +1,6 @@
-// Package fleet starts a whole deployment as processes on this machine, for
-// demonstrations, experiments and tests. It is part of the load tool; the
-// system itself starts no process.
+// Package fleet starts a complete deployment as processes on the local machine, for
+// demonstrations, experiments and tests. It is part of the load tool. The system
+// itself starts no processes.
 //
 // # Usage
 //
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -24,7 +24,7 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// The tokens of a started deployment.
+// The bearer tokens that a started deployment accepts.
 const (
 	CallerToken   = "demo-caller"
 	OperatorToken = "demo-operator"
@@ -34,9 +34,9 @@
 var Zones = []string{"zilina-a", "zilina-b"}
 
 const (
-	// DefaultEngines is the number of engines of a deployment.
+	// DefaultEngines is the default number of engines.
 	DefaultEngines = 4
-	// DefaultEntries is the number of its entry instances.
+	// DefaultEntries is the default number of entry instances.
 	DefaultEntries = 3
 
 	engineMemoryTokens  = 60000
@@ -47,27 +47,30 @@
 	readyPoll           = 20 * time.Millisecond
 )
 
-// Options says what to start.
+// Options configures a deployment.
 type Options struct {
-	// Bin is the folder of the built programs.
+	// Bin is the folder with the programs filbertstall and standin.
 	Bin string
-	// Dir takes settings and logs.
+	// Dir is an existing folder that receives settings and logs.
 	Dir string
-	// Engines and Entries are numbers of processes; zero means the defaults.
+	// Engines and Entries are the numbers of engines and entry instances. Zero
+	// means DefaultEngines and DefaultEntries.
 	Engines int
 	Entries int
-	// ColdSequences is what the configuration states that a cold engine bears;
-	// zero means 4, as the stand-in does by itself.
+	// ColdSequences is the number of sequences that a cold engine can run,
+	// according to the configuration. Zero means 4, the default of the stand-in.
 	ColdSequences int
-	// EngineArgs are added to each engine's command line.
+	// EngineArgs are appended to the command line of each engine.
 	EngineArgs []string
-	// WithoutContinuation declares that no engine goes on from a prefix.
+	// WithoutContinuation declares in the configuration that engines cannot
+	// continue a generation from a prefix.
 	WithoutContinuation bool
-	// FlushDelay is that of the entries' settings.
+	// FlushDelay is the setting limits.flush_delay of the entry instances.
 	FlushDelay time.Duration
 }
 
-// Entry describes a running entry instance.
+// Entry describes a running entry instance. Caller and Operator are the URLs of
+// its listeners.
 type Entry struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone"`
@@ -76,7 +79,7 @@
 	PID      int    `json:"pid"`
 }
 
-// Endpoint describes a running endpoint.
+// Endpoint describes a running stand-in for an engine or a plain service.
 type Endpoint struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -85,19 +88,21 @@
 	PID     int    `json:"pid"`
 }
 
-// Address is where a stand-in listens.
+// Address is the URL and process id of a stand-in, which it prints when it is
+// ready.
 type Address struct {
 	URL string `json:"url"`
 	PID int    `json:"pid"`
 }
 
-// TokenPair holds the bearer tokens of a deployment.
+// TokenPair holds the bearer tokens of a deployment for callers and operators.
 type TokenPair struct {
 	Caller   string `json:"caller"`
 	Operator string `json:"operator"`
 }
 
-// Report describes a running deployment.
+// Report describes a running deployment. Instances and endpoints that have stopped
+// stay listed.
 type Report struct {
 	Entries   []Entry    `json:"entries"`
 	Endpoints []Endpoint `json:"endpoints"`
@@ -108,18 +113,21 @@
 // Fleet is a running deployment.
 type Fleet struct {
 	Report Report
-	// Processes has each process by the name of its instance or endpoint.
+	// Processes has the running processes by the name of their instance or
+	// endpoint. The stand-in of the platform has the name platform.
 	Processes map[string]*Process
 
-	op       Options
+	op Options
+	// key is the resume key that all entry instances share, in hex.
 	key      string
 	stopping atomic.Bool
 
-	mu    sync.Mutex
-	peers []platform.Instance
+	mu        sync.Mutex
+	instances []platform.Instance
 }
 
-// Start starts a deployment and waits until every entry instance is ready.
+// Start starts a deployment and waits until every entry instance is ready. It
+// stops all processes if it fails.
 func Start(ctx context.Context, op Options) (*Fleet, error) {
 	op.Engines = cmp.Or(op.Engines, DefaultEngines)
 	op.ColdSequences = cmp.Or(op.ColdSequences, engineColdSequences)
@@ -138,7 +146,8 @@
 	return fl, nil
 }
 
-// Stop ends all processes and returns the first entry instance's failure.
+// Stop shuts down the entry instances gracefully and kills the stand-ins. It
+// returns the first error of an entry instance.
 func (fl *Fleet) Stop() error {
 	fl.stopping.Store(true)
 	var first error
@@ -159,7 +168,7 @@
 	return first
 }
 
-func (fl *Fleet) standin(ctx context.Context, name string, args ...string) (Address, error) {
+func (fl *Fleet) startStandin(ctx context.Context, name string, args ...string) (Address, error) {
 	var ad Address
 	pr, err := startProcess(ctx, fl.op.Dir, name, filepath.Join(fl.op.Bin, "standin"), append(args, "--name", name), &ad)
 	if err != nil {
@@ -171,7 +180,7 @@
 
 func (fl *Fleet) startPlatform(ctx context.Context) error {
 	var err error
-	fl.Report.Platform, err = fl.standin(ctx, "platform", "platform")
+	fl.Report.Platform, err = fl.startStandin(ctx, "platform", "platform")
 	return err
 }
 
@@ -192,7 +201,7 @@
 }
 
 func (fl *Fleet) startEndpoint(ctx context.Context, name, service, zone string, args []string) error {
-	ad, err := fl.standin(ctx, name, args...)
+	ad, err := fl.startStandin(ctx, name, args...)
 	if err != nil {
 		return err
 	}
@@ -200,7 +209,7 @@
 	return nil
 }
 
-// Document returns the first configuration of the deployment.
+// Document returns the initial configuration of the deployment.
 func (fl *Fleet) Document() kind.Document {
 	doc := kind.Document{
 		Version: 1,
@@ -260,7 +269,8 @@
 	return nil
 }
 
-// StartEntry starts one more entry instance and tells the platform of it.
+// StartEntry starts another entry instance and adds it to the platform's list of
+// instances. It does not wait until the instance is ready for callers.
 func (fl *Fleet) StartEntry(ctx context.Context, name, zone string) error {
 	path := filepath.Join(fl.op.Dir, name+".hujson")
 	if err := os.WriteFile(path, fl.settings(name, zone), 0o600); err != nil {
@@ -274,25 +284,25 @@
 	fl.Processes[name] = pr
 	fl.Report.Entries = append(fl.Report.Entries, Entry{Name: name, Zone: zone, Caller: re.Caller, Operator: re.Operator, PID: re.PID})
 	fl.mu.Lock()
-	fl.peers = append(fl.peers, platform.Instance{Name: name, Zone: zone, State: platform.InstanceLive, Peer: re.Peer})
+	fl.instances = append(fl.instances, platform.Instance{Name: name, Zone: zone, State: platform.InstanceLive, Peer: re.Peer})
 	fl.mu.Unlock()
-	go fl.watch(pr, name)
-	return fl.list(ctx)
+	go fl.forgetOnExit(pr, name)
+	return fl.publishInstances(ctx)
 }
 
-// watch takes an entry instance off the platform's list once its process has
-// ended, as the platform that runs it would.
-func (fl *Fleet) watch(pr *Process, name string) {
+// forgetOnExit removes an entry instance from the platform's list of instances when
+// its process exits, as the real platform does.
+func (fl *Fleet) forgetOnExit(pr *Process, name string) {
 	<-pr.done
-	if err := fl.Forget(context.Background(), name); err != nil && !fl.stopping.Load() {
+	if err := fl.ForgetEntry(context.Background(), name); err != nil && !fl.stopping.Load() {
 		fmt.Fprintf(os.Stderr, "fleet: %s stays on the platform's list: %v\n", name, err)
 	}
 }
 
-// list tells the platform which instances there are.
-func (fl *Fleet) list(ctx context.Context) error {
+// publishInstances sends the list of instances to the platform.
+func (fl *Fleet) publishInstances(ctx context.Context) error {
 	fl.mu.Lock()
-	data, err := json.Marshal(fl.peers)
+	data, err := json.Marshal(fl.instances)
 	fl.mu.Unlock()
 	if err != nil {
 		return err
@@ -300,7 +310,7 @@
 	return post(ctx, fl.Report.Platform.URL+"/instances", data)
 }
 
-// Kill ends a process at once.
+// Kill kills the process of that name if it runs.
 func (fl *Fleet) Kill(name string) {
 	if pr, running := fl.Processes[name]; running {
 		pr.Kill()
@@ -308,16 +318,17 @@
 	}
 }
 
-// Leave tells the platform that an entry instance leaves and stops it in order.
-func (fl *Fleet) Leave(ctx context.Context, name string) error {
+// StopEntry marks an entry instance as leaving at the platform and shuts it down
+// gracefully. It does nothing more if the process does not run.
+func (fl *Fleet) StopEntry(ctx context.Context, name string) error {
 	fl.mu.Lock()
-	for ix := range fl.peers {
-		if fl.peers[ix].Name == name {
-			fl.peers[ix].State = platform.InstanceLeaving
+	for ix := range fl.instances {
+		if fl.instances[ix].Name == name {
+			fl.instances[ix].State = platform.InstanceLeaving
 		}
 	}
 	fl.mu.Unlock()
-	if err := fl.list(ctx); err != nil {
+	if err := fl.publishInstances(ctx); err != nil {
 		return err
 	}
 	pr, running := fl.Processes[name]
@@ -328,12 +339,12 @@
 	return pr.Terminate()
 }
 
-// Forget takes an entry instance off the platform's list.
-func (fl *Fleet) Forget(ctx context.Context, name string) error {
+// ForgetEntry removes an entry instance from the platform's list of instances.
+func (fl *Fleet) ForgetEntry(ctx context.Context, name string) error {
 	fl.mu.Lock()
-	fl.peers = slices.DeleteFunc(fl.peers, func(it platform.Instance) bool { return it.Name == name })
+	fl.instances = slices.DeleteFunc(fl.instances, func(it platform.Instance) bool { return it.Name == name })
 	fl.mu.Unlock()
-	return fl.list(ctx)
+	return fl.publishInstances(ctx)
 }
 
 func (fl *Fleet) settings(name, zone string) []byte {
@@ -366,7 +377,9 @@
 	return nil
 }
 
-// SetFault tells a stand-in to misbehave.
+// SetFault sets the fault mode of the stand-in at url for a duration in the format
+// of time.ParseDuration. With an empty duration, the fault lasts until the next
+// call.
 func SetFault(ctx context.Context, url, mode, lasts string) error {
 	data, err := json.Marshal(map[string]string{"mode": mode, "for": lasts})
 	if err != nil {
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -14,19 +14,22 @@
 
 const (
 	startTimeout = 10 * time.Second
-	// killAfter is how long a process may take to stop.
-	killAfter = 15 * time.Second
+	// stopTimeout is how long a process may take to shut down before it is
+	// killed.
+	stopTimeout = 15 * time.Second
 )
 
-// Process is one started program.
+// Process is a program that was started and is ready.
 type Process struct {
-	cmd  *exec.Cmd
+	cmd *exec.Cmd
+	// done is closed when the process has exited. The exit status is then in err.
 	done chan struct{}
 	err  error
 }
 
-// startProcess starts a program and decodes the line that it prints when it
-// is ready. Its log goes to a file in dir.
+// startProcess starts a program, waits for the JSON line that it prints when it is
+// ready, and decodes the line into ready. Its standard error goes to name.log in
+// dir.
 func startProcess(ctx context.Context, dir, name, program string, args []string, ready any) (*Process, error) {
 	logFile, err := os.Create(filepath.Join(dir, name+".log"))
 	if err != nil {
@@ -65,27 +68,27 @@
 	return pr, nil
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits until the process has exited.
 func (pr *Process) Kill() {
 	_ = pr.cmd.Process.Kill()
 	<-pr.done
 }
 
-// Terminate asks the process to stop and waits for it. It returns an error if
-// the process had to be killed or its exit code is not 0.
+// Terminate sends SIGTERM and waits until the process has exited. It returns an
+// error if the exit code is not 0 or the process was killed after stopTimeout.
 func (pr *Process) Terminate() error {
 	_ = pr.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-pr.done:
 		return pr.err
-	case <-time.After(killAfter):
+	case <-time.After(stopTimeout):
 		pr.Kill()
-		return fmt.Errorf("process %d did not stop within %v", pr.cmd.Process.Pid, killAfter)
+		return fmt.Errorf("process %d did not stop within %v", pr.cmd.Process.Pid, stopTimeout)
 	}
 }
 
-// Pause stops the process from running until Continue.
+// Pause suspends the process with SIGSTOP until Continue is called.
 func (pr *Process) Pause() error { return pr.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Continue lets a paused process run.
+// Continue resumes a paused process.
 func (pr *Process) Continue() error { return pr.cmd.Process.Signal(syscall.SIGCONT) }
--- a/internal/scenario/booking.go
+++ b/internal/scenario/booking.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// pairs is the number of bookings that are sent twice.
-	pairs = 40
-	// loseFor is how long answers are lost.
-	loseFor = 3 * time.Second
+	// bookingPairs is the number of bookings that are sent twice.
+	bookingPairs = 40
+	// answerLossDuration is how long each stand-in loses its answers.
+	answerLossDuration = 3 * time.Second
 )
 
 var bookingScenario = Scenario{
@@ -23,9 +23,11 @@
 	run:   runBooking,
 }
 
-func runBooking(st *stage) error {
+// runBooking sends each booking twice with the same idempotency key, concurrently,
+// and compares the answers.
+func runBooking(st *state) error {
 	different := 0
-	for number := range pairs {
+	for number := range bookingPairs {
 		key, body := fmt.Sprintf("pair-%d", number), fmt.Sprintf(`{"pair":%d}`, number)
 		answers := make([]client.Answer, 2)
 		var both sync.WaitGroup
@@ -37,20 +39,20 @@
 			different++
 		}
 	}
-	st.re.promise("bookings with two different answers", different)
+	st.re.requireZero("bookings with two different answers", different)
 	return nil
 }
 
 var answerScenario = Scenario{
 	Name:  "answers",
 	About: "The platform and then the rental desk lose their answers after the work is done.",
-	run: func(st *stage) error {
-		st.wait(settle)
+	run: func(st *state) error {
+		st.wait(settleTime)
 		for _, url := range []string{st.fl.Report.Platform.URL, st.endpoint("rental-desk-1").URL} {
-			if err := fleet.SetFault(st.ctx, url, "lose_answer", loseFor.String()); err != nil {
+			if err := fleet.SetFault(st.ctx, url, "lose_answer", answerLossDuration.String()); err != nil {
 				return err
 			}
-			st.wait(loseFor + time.Second)
+			st.wait(answerLossDuration + time.Second)
 		}
 		return nil
 	},
--- a/internal/scenario/doc.go
+++ b/internal/scenario/doc.go
@@ -1,5 +1,5 @@
-// Package scenario runs a deployment of processes through failures and counts
-// what callers and endpoints saw.
+// Package scenario injects failures into a deployment of local processes under
+// traffic, and compares what callers observed with what endpoints executed.
 //
 // # Usage
 //
@@ -8,6 +8,7 @@
 //		fmt.Println(re.Name, re.Pass(), re)
 //	}
 //
-// A scenario passes if every count that is promised to be zero is zero. Only
-// counts decide, no durations but the promised limit on new work in a zone.
+// A scenario passes if every count that has to be zero is zero. Latencies do not
+// decide. The only time limit that is checked is the one after which no new work
+// may start in a zone that was taken out.
 package scenario
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -2,49 +2,56 @@
 
 import "time"
 
-// Result counts what callers and endpoints saw.
+// Result holds the counts and latencies of one scenario, as callers and endpoints
+// observed them.
 type Result struct {
 	Name string `json:"name"`
-	// Streams were begun, Whole came to their end.
+	// Streams counts streams that were started, Whole those that completed.
 	Streams int `json:"streams"`
 	Whole   int `json:"whole"`
-	// Broken streams ended early; Refused ones never began.
+	// Broken counts streams that ended early or with an unknown outcome, Refused
+	// those that never started.
 	Broken  int `json:"broken"`
 	Refused int `json:"refused"`
-	// TokenFaults are doubled, lost or spliced tokens.
+	// TokenFaults counts streams with duplicated, missing or foreign tokens.
 	TokenFaults int `json:"token_faults"`
-	// Bookings are keyed calls that are not idempotent.
+	// Bookings counts calls that are not idempotent and carry an idempotency
+	// key. Answered, NotRun and Unknown are their outcomes for the caller.
 	Bookings int `json:"bookings"`
 	Answered int `json:"answered"`
 	NotRun   int `json:"not_run"`
 	Unknown  int `json:"unknown"`
-	// Doubled bookings began more than once at the endpoints.
+	// Doubled counts bookings that endpoints executed more than once.
 	Doubled int `json:"doubled"`
-	// FalseNotRun bookings began although their caller was told not_run.
+	// FalseNotRun counts bookings that an endpoint executed although their caller
+	// received not_run.
 	FalseNotRun int `json:"false_not_run"`
-	// LostBookings were answered but never began.
+	// LostBookings counts bookings that were answered but never executed.
 	LostBookings int `json:"lost_bookings"`
-	// Lookups are idempotent calls without a key.
+	// Lookups counts idempotent calls, which carry no key.
 	Lookups       int `json:"lookups"`
 	FailedLookups int `json:"failed_lookups"`
-	// LateStarts began in a zone or at an endpoint after the limit.
+	// LateStarts counts generations and calls that started in a zone later than
+	// the limit after it was taken out.
 	LateStarts int `json:"late_starts"`
-	// BadExits are processes that did not stop in order.
+	// BadExits counts processes that did not shut down gracefully.
 	BadExits int `json:"bad_exits"`
-	// FirstTokens and Gaps are latencies in milliseconds.
+	// FirstTokens is the time to the first token, Gaps the time between tokens
+	// and LookupTimes the duration of lookups, in milliseconds.
 	FirstTokens Quantiles `json:"first_token_ms"`
 	Gaps        Quantiles `json:"inter_token_ms"`
 	LookupTimes Quantiles `json:"lookup_ms"`
-	// Timeline has one interval for each second of the run.
+	// Timeline has one element for each second of the run.
 	Timeline []Interval `json:"timeline"`
-	// Faults says what broke a promise.
+	// Faults describes violated invariants. The scenario passed if it is empty.
 	Faults []string `json:"faults,omitempty"`
-	// Notes are observations without a promise.
+	// Notes describes single events, such as failed calls and injected faults,
+	// which do not fail the scenario by themselves.
 	Notes   []string      `json:"notes,omitempty"`
 	Elapsed time.Duration `json:"elapsed_ns"`
 }
 
-// Interval is what callers saw in one second.
+// Interval holds what callers observed in one second.
 type Interval struct {
 	Tokens  int `json:"tokens"`
 	Lookups int `json:"lookups"`
@@ -54,8 +61,9 @@
 	LongestLookup float64 `json:"longest_lookup_ms"`
 }
 
-// at returns the interval of the second in which du falls.
-func (re *Result) at(du time.Duration) *Interval {
+// interval returns the element of the timeline for the time du after the start
+// of the traffic. It extends the timeline if needed.
+func (re *Result) interval(du time.Duration) *Interval {
 	second := int(du / time.Second)
 	for len(re.Timeline) <= second {
 		re.Timeline = append(re.Timeline, Interval{})
@@ -63,7 +71,7 @@
 	return &re.Timeline[second]
 }
 
-// Quantiles summarise a latency in milliseconds.
+// Quantiles summarizes a latency distribution in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -71,23 +79,24 @@
 	Max float64 `json:"max"`
 }
 
-// Pass tells whether every promise held.
+// Pass reports whether no invariant was violated.
 func (re *Result) Pass() bool { return len(re.Faults) == 0 }
 
-// promise adds a fault if count is not zero.
-func (re *Result) promise(what string, count int) {
+// requireZero adds a fault if count is not zero.
+func (re *Result) requireZero(what string, count int) {
 	if count != 0 {
 		re.Faults = append(re.Faults, plural(count, what))
 	}
 }
 
-// judge checks what every scenario promises.
-func (re *Result) judge() {
-	re.promise("doubled, lost or spliced tokens", re.TokenFaults)
-	re.promise("cut streams", re.Broken)
-	re.promise("doubled bookings", re.Doubled)
-	re.promise("false not_run", re.FalseNotRun)
-	re.promise("answered bookings that never began", re.LostBookings)
-	re.promise("late starts", re.LateStarts)
-	re.promise("processes without an orderly exit", re.BadExits)
+// checkInvariants adds a fault for each violated invariant that holds for all
+// scenarios.
+func (re *Result) checkInvariants() {
+	re.requireZero("doubled, lost or spliced tokens", re.TokenFaults)
+	re.requireZero("cut streams", re.Broken)
+	re.requireZero("doubled bookings", re.Doubled)
+	re.requireZero("false not_run", re.FalseNotRun)
+	re.requireZero("answered bookings that never began", re.LostBookings)
+	re.requireZero("late starts", re.LateStarts)
+	re.requireZero("processes without an orderly exit", re.BadExits)
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -13,19 +13,21 @@
 	"filbertstall.example/filbertstall/internal/fleet"
 )
 
-// Scenario is one failure, or one task of an operator, under traffic.
+// Scenario is a failure, or an action of an operator, under traffic.
 type Scenario struct {
 	Name string
-	// About says what happens, in one line.
+	// About describes the scenario in one line.
 	About string
 
-	run func(st *stage) error
-	// check adds promises of the scenario's own, once all answers are in.
+	run func(st *state) error
+	// check verifies invariants of this scenario after the traffic has ended. It
+	// may be nil.
 	check func(re *Result)
 }
 
-// stage is a deployment under traffic.
-type stage struct {
+// state is the state of a running scenario: the deployment, its traffic, the
+// result, and a folder for files of the scenario.
+type state struct {
 	ctx context.Context
 	fl  *fleet.Fleet
 	tr  *traffic
@@ -33,21 +35,23 @@
 	dir string
 }
 
-// All returns the scenarios in the order in which they run.
+// All returns the scenarios of the smoke command in execution order. Soak is not
+// included.
 func All() []Scenario {
 	return []Scenario{
 		zoneScenario, engineScenario, entryScenario, bookingScenario, answerScenario, rollScenario, platformScenario,
 	}
 }
 
-// Execute starts a deployment, runs the scenario under traffic and judges it.
+// Execute starts a deployment, runs the scenario under traffic, checks the
+// invariants and stops the deployment. An error is recorded as a fault.
 func (sc Scenario) Execute(ctx context.Context, op fleet.Options) Result {
 	re := Result{Name: sc.Name}
 	begun := time.Now()
 	if err := sc.execute(ctx, op, &re); err != nil {
 		re.Faults = append(re.Faults, "not run to the end: "+err.Error())
 	}
-	re.judge()
+	re.checkInvariants()
 	re.Elapsed = time.Since(begun)
 	return re
 }
@@ -61,10 +65,10 @@
 	if err != nil {
 		return err
 	}
-	st := &stage{ctx: ctx, fl: fl, tr: newTraffic(fl, re), re: re, dir: op.Dir}
+	st := &state{ctx: ctx, fl: fl, tr: newTraffic(fl, re), re: re, dir: op.Dir}
 	st.tr.run(ctx)
 	err = sc.run(st)
-	st.tr.halt()
+	st.tr.stopAndSummarize()
 	if err == nil {
 		err = compareBookings(ctx, fl, st.tr)
 	}
@@ -78,11 +82,11 @@
 	return err
 }
 
-// wait lets the traffic run on.
-func (st *stage) wait(du time.Duration) { time.Sleep(du) }
+// wait lets the traffic continue for du.
+func (st *state) wait(du time.Duration) { time.Sleep(du) }
 
-// endpoint returns the endpoint of that name.
-func (st *stage) endpoint(name string) fleet.Endpoint {
+// endpoint returns the endpoint with the given name, or a zero Endpoint.
+func (st *state) endpoint(name string) fleet.Endpoint {
 	for _, en := range st.fl.Report.Endpoints {
 		if en.Name == name {
 			return en
@@ -91,8 +95,9 @@
 	return fleet.Endpoint{}
 }
 
-// operate runs a command of the operators' command line.
-func (st *stage) operate(entry fleet.Entry, args ...string) ([]byte, error) {
+// runOperator runs a command of the operator command line against an entry
+// instance and returns its JSON output.
+func (st *state) runOperator(entry fleet.Entry, args ...string) ([]byte, error) {
 	var out, errOut bytes.Buffer
 	args = append(args, "--operator", entry.Operator, "--token", fleet.OperatorToken, "--output", "json")
 	if code := command.Run(args, &out, &errOut); code != command.ExitDone {
@@ -101,14 +106,15 @@
 	return out.Bytes(), nil
 }
 
-// intend plans and confirms an intent.
-func (st *stage) intend(name, text string) error {
+// applyIntent writes the intent in text to the file name.hujson, plans it and
+// confirms the plan.
+func (st *state) applyIntent(name, text string) error {
 	path := filepath.Join(st.dir, name+".hujson")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
 	entry := st.fl.Report.Entries[0]
-	out, err := st.operate(entry, "plan", path)
+	out, err := st.runOperator(entry, "plan", path)
 	if err != nil {
 		return err
 	}
@@ -118,6 +124,6 @@
 	if err := json.Unmarshal(out, &made); err != nil {
 		return err
 	}
-	_, err = st.operate(entry, "confirm", made.ID)
+	_, err = st.runOperator(entry, "confirm", made.ID)
 	return err
 }
--- a/internal/scenario/token.go
+++ b/internal/scenario/token.go
@@ -7,26 +7,28 @@
 	"strings"
 )
 
-// TokenCheck checks the tokens of one answer. The engine stand-in's text of a
-// token is "seed:offset ", so a doubled, lost or foreign token shows.
+// TokenCheck verifies the tokens of one answer. The engine stand-in sends the text
+// "seed:offset " for each token, so that duplicated, missing and foreign tokens
+// are detected. The zero value is ready for use.
 type TokenCheck struct {
-	// Tokens is how many came.
+	// Tokens is the number of tokens checked so far.
 	Tokens int
-	// First and Last are the texts of the outermost tokens.
+	// First and Last are the texts of the first and the latest token.
 	First, Last string
 
 	seed string
 }
 
-// chunk is the part of an event that holds its text.
+// chunk is the part of a completion event that contains the token text.
 type chunk struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 }
 
-// Take checks the next event's JSON.
-func (tc *TokenCheck) Take(data []byte) error {
+// Check verifies the JSON data of the next event. It returns an error if the event
+// cannot be decoded or its token is not the expected one.
+func (tc *TokenCheck) Check(data []byte) error {
 	var ch chunk
 	if err := json.Unmarshal(data, &ch); err != nil || len(ch.Choices) == 0 {
 		return fmt.Errorf("bad event %q", data)
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -19,27 +19,29 @@
 )
 
 const (
-	// streamTokens is the length of each answer, about two seconds.
+	// streamTokens is the length of each answer, which takes about 2 s.
 	streamTokens = 150
-	// streamInterval and callInterval pace the traffic.
+	// streamInterval and callInterval are the times between arrivals of streams
+	// and of calls.
 	streamInterval = 200 * time.Millisecond
 	callInterval   = 50 * time.Millisecond
 	requestTimeout = 40 * time.Second
-	// longestLatencyMicros bounds the histograms.
+	// longestLatencyMicros is the upper bound of the histograms.
 	longestLatencyMicros = 120_000_000
 	histogramDigits      = 3
 )
 
-// booking is what the caller of a keyed call was told.
+// booking is the outcome that the caller of a booking observed.
 type booking struct {
 	key     string
 	outcome client.Outcome
 }
 
-// told is the outcome of a booking that was answered.
-const told client.Outcome = ""
+// answered is the outcome of a booking that received an answer.
+const answered client.Outcome = ""
 
-// traffic is open-loop traffic of callers on a deployment.
+// traffic generates open-loop traffic on a deployment and records results. The
+// fields after mu are protected by it.
 type traffic struct {
 	caller atomic.Pointer[client.Client]
 	stop   chan struct{}
@@ -69,20 +71,22 @@
 	return tr
 }
 
-// run sends streams and calls until halt.
+// run starts streams and calls, alternately lookups and bookings, until
+// stopAndSummarize is called.
 func (tr *traffic) run(ctx context.Context) {
-	tr.every(streamInterval, func(int) { tr.stream(ctx, streamTokens) })
-	tr.every(callInterval, func(number int) {
+	tr.startPeriodic(streamInterval, func(int) { tr.stream(ctx, streamTokens) })
+	tr.startPeriodic(callInterval, func(number int) {
 		if number%2 == 0 {
-			tr.look(ctx, number)
+			tr.lookUp(ctx, number)
 			return
 		}
 		tr.book(ctx, tr.prefix+"-"+strconv.Itoa(number), fmt.Sprintf(`{"book":%d}`, number))
 	})
 }
 
-// every begins send at a fixed pace, however long each takes.
-func (tr *traffic) every(interval time.Duration, send func(number int)) {
+// startPeriodic calls send at a fixed interval, each call in its own goroutine, so
+// that slow calls do not delay later ones.
+func (tr *traffic) startPeriodic(interval time.Duration, send func(number int)) {
 	tr.active.Go(func() {
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
@@ -97,8 +101,9 @@
 	})
 }
 
-// halt ends the arrivals, waits for open answers and sums up.
-func (tr *traffic) halt() {
+// stopAndSummarize stops the arrivals, waits for open requests and computes the
+// latency quantiles.
+func (tr *traffic) stopAndSummarize() {
 	close(tr.stop)
 	tr.active.Wait()
 	tr.re.FirstTokens = quantiles(tr.first)
@@ -111,20 +116,22 @@
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99), Max: float64(hi.Max()) / 1000}
 }
 
-func (tr *traffic) locked(change func(re *Result)) {
+// update changes the result under the lock.
+func (tr *traffic) update(change func(re *Result)) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	change(tr.re)
 }
 
-// observe records the time since from and returns the time now.
+// observe records the time since from in hi and the timeline, and returns the
+// current time.
 func (tr *traffic) observe(hi *hdrhistogram.Histogram, from time.Time) time.Time {
 	now := time.Now()
 	micros := min(now.Sub(from).Microseconds(), longestLatencyMicros)
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	_ = hi.RecordValue(micros)
-	in := tr.re.at(now.Sub(tr.begun))
+	in := tr.re.interval(now.Sub(tr.begun))
 	switch hi {
 	case tr.lookup:
 		in.Lookups++
@@ -136,9 +143,9 @@
 	return now
 }
 
-// stream reads one generation to its end.
+// stream reads one generation to its end and records its outcome.
 func (tr *traffic) stream(ctx context.Context, tokens int) {
-	tr.locked(func(re *Result) { re.Streams++ })
+	tr.update(func(re *Result) { re.Streams++ })
 	body := fmt.Sprintf(`{"model":"filbert","prompt":"Explain chapter 7.","stream":true,"max_tokens":%d}`, tokens)
 	st := tr.caller.Load().Generate(ctx, client.Generation{Path: "/v1/completions", Body: []byte(body), Timeout: requestTimeout})
 	defer st.Close()
@@ -147,7 +154,7 @@
 	for {
 		ev, err := st.Next()
 		if err != nil {
-			tr.end(&tc, tokens, err)
+			tr.recordEnd(&tc, tokens, err)
 			return
 		}
 		hi := tr.gap
@@ -155,8 +162,8 @@
 			hi = tr.first
 		}
 		last = tr.observe(hi, last)
-		if err := tc.Take(ev.Data); err != nil {
-			tr.locked(func(re *Result) {
+		if err := tc.Check(ev.Data); err != nil {
+			tr.update(func(re *Result) {
 				re.TokenFaults++
 				re.Notes = append(re.Notes, err.Error())
 			})
@@ -165,10 +172,10 @@
 	}
 }
 
-// end counts how a stream ended.
-func (tr *traffic) end(tc *TokenCheck, tokens int, err error) {
+// recordEnd counts the outcome of a stream that ended with err.
+func (tr *traffic) recordEnd(tc *TokenCheck, tokens int, err error) {
 	var er *client.Error
-	tr.locked(func(re *Result) {
+	tr.update(func(re *Result) {
 		switch {
 		case errors.Is(err, io.EOF) && tc.Tokens == tokens:
 			re.Whole++
@@ -185,9 +192,10 @@
 	})
 }
 
-// book makes one keyed call that is not idempotent.
+// book makes one call that is not idempotent, with an idempotency key, and records
+// its outcome.
 func (tr *traffic) book(ctx context.Context, key, body string) client.Answer {
-	tr.locked(func(re *Result) { re.Bookings++ })
+	tr.update(func(re *Result) { re.Bookings++ })
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	an, err := tr.caller.Load().Call(ctx, client.Call{
@@ -195,17 +203,17 @@
 		Body: []byte(body), Key: key,
 	})
 	var er *client.Error
-	outcome := told
+	outcome := answered
 	if err != nil {
 		outcome = client.Unknown
 	}
 	if errors.As(err, &er) {
 		outcome = er.Outcome
 	}
-	tr.locked(func(re *Result) {
+	tr.update(func(re *Result) {
 		tr.bookings = append(tr.bookings, booking{key: key, outcome: outcome})
 		switch outcome {
-		case told:
+		case answered:
 			re.Answered++
 		case client.NotRun:
 			re.NotRun++
@@ -217,9 +225,9 @@
 	return an
 }
 
-// look makes one idempotent call.
-func (tr *traffic) look(ctx context.Context, number int) {
-	tr.locked(func(re *Result) { re.Lookups++ })
+// lookUp makes one idempotent call and records its duration and failure.
+func (tr *traffic) lookUp(ctx context.Context, number int) {
+	tr.update(func(re *Result) { re.Lookups++ })
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	begun := time.Now()
@@ -228,23 +236,23 @@
 	})
 	tr.observe(tr.lookup, begun)
 	if err != nil {
-		tr.locked(func(re *Result) {
+		tr.update(func(re *Result) {
 			re.FailedLookups++
-			re.at(time.Since(tr.begun)).Failed++
+			re.interval(time.Since(tr.begun)).Failed++
 			re.Notes = append(re.Notes, "lookup: "+err.Error())
 		})
 	}
 }
 
-// addEntry gives new requests one more entry instance to use.
+// addEntry adds an entry instance to those that new requests use.
 func (tr *traffic) addEntry(url string) {
 	entries := append(slices.Clone(tr.caller.Load().Entries), url)
 	tr.caller.Store(newCaller(entries))
 }
 
-// dropEntry keeps new requests from an entry instance that stops, as the
-// balancer does once it is not ready.
-func (tr *traffic) dropEntry(url string) {
+// removeEntry removes an entry instance that is about to stop from those that new
+// requests use, as a load balancer does once the instance is not ready.
+func (tr *traffic) removeEntry(url string) {
 	entries := slices.DeleteFunc(slices.Clone(tr.caller.Load().Entries), func(it string) bool { return it == url })
 	tr.caller.Store(newCaller(entries))
 }
--- a/internal/scenario/witness.go
+++ b/internal/scenario/verify.go
@@ -13,8 +13,8 @@
 	"filbertstall.example/filbertstall/pkg/client"
 )
 
-// calls asks a stand-in which calls it began.
-func calls(ctx context.Context, url string) ([]standin.Call, error) {
+// fetchCalls returns the calls that a stand-in has started, from its record.
+func fetchCalls(ctx context.Context, url string) ([]standin.Call, error) {
 	var list []standin.Call
 	err := getJSON(ctx, url+"/standin/calls", &list)
 	return list, err
@@ -36,14 +36,15 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// compareBookings sets what callers were told against what endpoints began.
+// compareBookings compares the outcomes that callers received with the bookings
+// that endpoints executed.
 func compareBookings(ctx context.Context, fl *fleet.Fleet, tr *traffic) error {
 	begun := make(map[string]int)
 	for _, en := range fl.Report.Endpoints {
 		if en.Service != "rental-desk" {
 			continue
 		}
-		list, err := calls(ctx, en.URL)
+		list, err := fetchCalls(ctx, en.URL)
 		if err != nil {
 			return err
 		}
@@ -59,17 +60,18 @@
 		if count > 0 && bo.outcome == client.NotRun {
 			tr.re.FalseNotRun++
 		}
-		if count == 0 && bo.outcome == told {
+		if count == 0 && bo.outcome == answered {
 			tr.re.LostBookings++
 		}
 	}
 	return nil
 }
 
-// startsAfter counts what a stand-in began after a time. Resuming a generation
-// that runs there already is no start.
-func startsAfter(ctx context.Context, url string, from, until time.Time) (int, error) {
-	list, err := calls(ctx, url)
+// countStarts returns the number of generations and calls that a stand-in started
+// after from and before until. Resuming a generation that already runs there does
+// not count as a start.
+func countStarts(ctx context.Context, url string, from, until time.Time) (int, error) {
+	list, err := fetchCalls(ctx, url)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/scenario/zone.go
+++ b/internal/scenario/zone.go
@@ -7,12 +7,15 @@
 )
 
 const (
-	// zoneLimit is how long new work may still begin in a zone that is out.
-	zoneLimit = 3 * time.Second
-	// zoneStays is how long the zone stays out behind the limit.
-	zoneStays = 3 * time.Second
-	// zoneReturn is how long the zone has to get work again.
-	zoneReturn = 6 * time.Second
+	// zoneOutLimit is how long new work may still start in a zone after it was
+	// taken out.
+	zoneOutLimit = 3 * time.Second
+	// zoneOutObservation is how long the zone stays out after the limit, while
+	// starts are counted as late.
+	zoneOutObservation = 3 * time.Second
+	// zoneReturnPeriod is the time within which the zone has to receive work
+	// again after it was brought back.
+	zoneReturnPeriod = 6 * time.Second
 )
 
 var zoneScenario = Scenario{
@@ -21,39 +24,42 @@
 	run:   runZone,
 }
 
-func runZone(st *stage) error {
+// runZone takes zilina-b out, counts work that starts there after the limit,
+// brings the zone back and checks that it receives work again.
+func runZone(st *state) error {
 	st.wait(2 * time.Second)
 	confirmed := time.Now()
-	if err := st.intend("out", `{"actions": [{"take_zone_out": "zilina-b"}]}`); err != nil {
+	if err := st.applyIntent("out", `{"actions": [{"take_zone_out": "zilina-b"}]}`); err != nil {
 		return err
 	}
-	limit := confirmed.Add(zoneLimit)
-	st.wait(time.Until(limit.Add(zoneStays)))
-	backAt := time.Now()
-	if err := st.zoneStarts(limit, backAt, &st.re.LateStarts); err != nil {
+	limit := confirmed.Add(zoneOutLimit)
+	st.wait(time.Until(limit.Add(zoneOutObservation)))
+	returnAt := time.Now()
+	if err := st.countZoneStarts(limit, returnAt, &st.re.LateStarts); err != nil {
 		return err
 	}
-	if err := st.intend("back", `{"actions": [{"bring_zone_back": "zilina-b"}]}`); err != nil {
+	if err := st.applyIntent("back", `{"actions": [{"bring_zone_back": "zilina-b"}]}`); err != nil {
 		return err
 	}
-	st.wait(zoneReturn)
-	again := 0
-	if err := st.zoneStarts(backAt, time.Now(), &again); err != nil {
+	st.wait(zoneReturnPeriod)
+	startedAfterReturn := 0
+	if err := st.countZoneStarts(returnAt, time.Now(), &startedAfterReturn); err != nil {
 		return err
 	}
-	if again == 0 {
-		st.re.promise("zone without work after its return", 1)
+	if startedAfterReturn == 0 {
+		st.re.requireZero("zone without work after its return", 1)
 	}
 	return nil
 }
 
-// zoneStarts counts the generations and calls that began in zilina-b.
-func (st *stage) zoneStarts(from, until time.Time, count *int) error {
+// countZoneStarts adds to count the generations and calls that started in
+// zilina-b after from and before until.
+func (st *state) countZoneStarts(from, until time.Time, count *int) error {
 	for _, en := range st.fl.Report.Endpoints {
 		if en.Zone != fleet.Zones[1] {
 			continue
 		}
-		begun, err := startsAfter(st.ctx, en.URL, from, until)
+		begun, err := countStarts(st.ctx, en.URL, from, until)
 		if err != nil {
 			return err
 		}
