--- a/Makefile
+++ b/Makefile
@@ -21,11 +21,13 @@
 smoke: build
 	$(BIN)/filbertbench smoke --bin $(BIN) --known-red KNOWN-RED.txt
 
-# Random faults on gateway processes, 30 fresh seeds: about ten minutes.
+# Injects random faults into gateway processes, with 30 new seeds. Takes about
+# ten minutes.
 soak:
 	go test ./platform -run TestSoak -v -timeout 30m -soak.seeds 30 -soak.seconds 14
 
-# The same for our own interface, ten minutes of one seed.
+# Injects random faults into a deployment with our own interface, with one seed.
+# Takes ten minutes.
 soak-own: build
 	$(BIN)/filbertbench soak --bin $(BIN)
 
@@ -43,7 +45,8 @@
 	$(BIN)/filbertbench policy --policy filbertstall --seed 1 --lengths lognormal --lengths pareto --lengths bimodal --load 0.9 --load 1.2 --load 3.0 --faults
 	go test -run '^$$' -bench . -benchmem ./...
 
-# The slopes of docs/CAPACITY.md, at three sizes each. Takes a few minutes.
+# Prints the table of slopes of docs/CAPACITY.md from measurements at three sizes
+# each. Takes a few minutes.
 capacity: build
 	@( for size in "10 100" "20 400" "40 1600"; do set -- $$size; \
 		$(BIN)/filbertbench cost --bin $(BIN) --slope --rate $$1 --open $$2 || exit 1; done; \
