--- a/internal/bench/simulation/run.go
+++ b/internal/bench/simulation/run.go
@@ -19,7 +19,7 @@
 	Crashing bool
 }
 
-// Options describe one run.
+// Options configures one run.
 type Options struct {
 	Policy  Policy
 	Seed    uint64
--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -12,8 +12,9 @@
 // # Usage
 //
 //	me, err := slope.Read(os.Stdin)
-//	fi, ok := me.Fit("control", "bytes_per_s")
-//	fmt.Println(fi.At(340))
+//	if fi, ok := me.Fit("control", "bytes_per_s"); ok {
+//		fmt.Println(fi.At(340))
+//	}
 package slope
 
 import (
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	en := standin.NewEngine(standin.EngineOptions{Name: "engine-1", Seed: 1})
+//	en := standin.NewEngine(standin.EngineOptions{Name: "engine-1", Seed: 1, Sequences: 256, MemoryTokens: 60000})
 //	err := standin.Serve(listener, en) // until the listener is closed
 //
 // All stand-ins serve GET /standin/calls, GET /standin/load and
