--- a/Makefile
+++ b/Makefile
@@ -26,8 +26,8 @@
 soak:
 	go test ./platform -run TestSoak -v -timeout 30m -soak.seeds 30 -soak.seconds 14
 
-# Injects random faults into a deployment with our own interface, with one seed.
-# Takes ten minutes.
+# Injects random faults into processes that serve filbertstall's own interface,
+# with one seed. Takes ten minutes.
 soak-own: build
 	$(BIN)/filbertbench soak --bin $(BIN)
 
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// recordEnd counts the outcome of a stream: whole, refused or broken.
+// recordEnd counts the outcome of a stream: complete, refused or broken.
 func (ob *observer) recordEnd(complete bool, err error) {
 	var er *client.Error
 	switch {
--- a/internal/bench/simulation/allocated.go
+++ b/internal/bench/simulation/allocated.go
@@ -35,8 +35,8 @@
 	inFlight []*job
 	engines  map[string]*engine
 	su       *suspects
-	// wakeAt is the virtual time of the scheduled call of decide for which no new
-	// input is needed.
+	// wakeAt is the virtual time of the next scheduled call of decide. Each new
+	// input, such as a job or a report, calls decide as well.
 	wakeAt time.Duration
 }
 
@@ -90,8 +90,8 @@
 	}
 }
 
-// request asks the allocator for a place on an engine that is not occupied by a
-// suspect.
+// request asks the allocator for a place on an engine that is neither in occupied
+// nor excluded for the job.
 func (ad *allocatedDispatcher) request(jo *job, occupied []string) {
 	ad.jobs[jo.id] = jo
 	re := admission.Request{
--- a/internal/bench/simulation/dispatcher.go
+++ b/internal/bench/simulation/dispatcher.go
@@ -29,7 +29,7 @@
 	submit(jo *job)
 	// abandoned handles a caller that hung up before the first token.
 	abandoned(jo *job)
-	// ended handles the end of a job on an engine, whole or not.
+	// ended handles the end of a job on an engine, complete or not.
 	ended(jo *job, re admission.Result)
 	// progress handles the periodic reports of generated tokens.
 	progress()
--- a/internal/bench/simulation/gate_test.go
+++ b/internal/bench/simulation/gate_test.go
@@ -191,7 +191,7 @@
 		Expect(simulation.Run(op)).NotTo(Equal(first))
 	})
 
-	DescribeTable("refer to a load 1.0 at 0.97 of which the oracle's queue is bounded, and at 1.25 of which it is not",
+	DescribeTable("are relative to Capacity, where the oracle's queue is bounded at 0.97 times this rate and not at 1.25 times",
 		func(le simulation.Lengths) {
 			Expect(simulation.QueueBounded(le, simulation.Capacity(le)*0.97, boundRun)).To(BeTrue())
 			Expect(simulation.QueueBounded(le, simulation.Capacity(le)*1.25, boundRun)).To(BeFalse())
--- a/internal/bench/simulation/row.go
+++ b/internal/bench/simulation/row.go
@@ -8,8 +8,9 @@
 )
 
 // Row is the result of one run. It excludes requests that arrive during
-// unmeasuredTime, in which the allocator learns answer lengths. The counts
-// ColdOverloadCount and EndpointsLost cover the whole run.
+// unmeasuredTime, or during the first quarter of runs shorter than four times
+// that, as the allocator learns answer lengths then. The counts ColdOverloadCount
+// and EndpointsLost cover the whole run.
 type Row struct {
 	Policy  Policy  `json:"policy"`
 	Seed    uint64  `json:"seed"`
@@ -31,7 +32,7 @@
 	// RefusedShare is the share of requests that were refused or abandoned.
 	RefusedShare float64 `json:"refused_share"`
 	// ColdOverloadCount is the number of jobs that were dispatched to an engine
-	// known to be cold beyond its cold capacity.
+	// that was known to be cold and already had coldSequences jobs.
 	ColdOverloadCount int `json:"cold_overload_count"`
 	// EndpointsLost is the number of engines that the crashing request crashed.
 	EndpointsLost int `json:"endpoints_lost"`
--- a/internal/bench/simulation/suspect.go
+++ b/internal/bench/simulation/suspect.go
@@ -48,7 +48,8 @@
 
 // release returns the suspects that may be submitted now, and the names of the
 // engines that are occupied by a suspect on probation. It releases at most one
-// suspect, and none while another has no engine yet.
+// suspect, and none while another has no engine yet or suspects occupy all engines
+// but one.
 func (su *suspects) release(engines []*engine) (list []*job, occupied []string) {
 	su.probation = slices.DeleteFunc(su.probation, func(jo *job) bool {
 		return jo.finished || jo.engine != nil && jo.done-jo.doneAtStart >= probationTokens
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -23,7 +23,8 @@
 	// by factor, which converts it to unit.
 	size, factor float64
 	// limit is zero if no limit is stated.
-	limit     float64
+	limit float64
+	// mechanism is the part of the design that determines the value.
 	mechanism string
 }
 
--- a/internal/bench/target.go
+++ b/internal/bench/target.go
@@ -1,6 +1,7 @@
 package bench
 
-// target is the deployment size that the design has to support.
+// target is the deployment size that the design has to support. A daemon is one
+// filbertstall process.
 type target struct {
 	daemons, replicas, accelerators float64
 	requestsPerSecond               float64
--- a/internal/scenario/doc.go
+++ b/internal/scenario/doc.go
@@ -9,6 +9,6 @@
 //	}
 //
 // A scenario passes if every count that has to be zero is zero. Latencies do not
-// decide. The only time limit that is checked is the one after which no new work
-// may start in a zone that was taken out.
+// influence the result. The only time limit that is checked is the one after which
+// no new work may start in a zone that was taken out of service.
 package scenario
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -13,7 +13,8 @@
 	// those that never started.
 	Broken  int `json:"broken"`
 	Refused int `json:"refused"`
-	// TokenFaults counts streams with duplicated, missing or foreign tokens.
+	// TokenFaults counts streams with duplicated or missing tokens or with tokens
+	// of another generation.
 	TokenFaults int `json:"token_faults"`
 	// Bookings counts calls that are not idempotent and carry an idempotency
 	// key. Answered, NotRun and Unknown are their outcomes for the caller.
@@ -32,7 +33,7 @@
 	Lookups       int `json:"lookups"`
 	FailedLookups int `json:"failed_lookups"`
 	// LateStarts counts generations and calls that started in a zone later than
-	// the limit after it was taken out.
+	// zoneOutLimit after it was taken out of service.
 	LateStarts int `json:"late_starts"`
 	// BadExits counts processes that did not shut down gracefully.
 	BadExits int `json:"bad_exits"`
@@ -85,7 +86,7 @@
 // requireZero adds a fault if count is not zero.
 func (re *Result) requireZero(what string, count int) {
 	if count != 0 {
-		re.Faults = append(re.Faults, plural(count, what))
+		re.Faults = append(re.Faults, formatCount(count, what))
 	}
 }
 
--- a/internal/scenario/soak.go
+++ b/internal/scenario/soak.go
@@ -78,7 +78,7 @@
 	return so.st.endpoint("engine-" + strconv.Itoa(1+so.rn.IntN(fleet.DefaultEngines))).URL
 }
 
-// pauseEntry stops a random entry instance with SIGSTOP for faultDuration.
+// pauseEntry pauses a random entry instance with SIGSTOP for faultDuration.
 func (so *soak) pauseEntry() error {
 	pr := so.st.fl.Processes[so.entries[so.rn.IntN(len(so.entries))].Name]
 	if err := pr.Pause(); err != nil {
--- a/internal/scenario/token.go
+++ b/internal/scenario/token.go
@@ -8,8 +8,8 @@
 )
 
 // TokenCheck verifies the tokens of one answer. The engine stand-in sends the text
-// "seed:offset " for each token, so that duplicated, missing and foreign tokens
-// are detected. The zero value is ready for use.
+// "seed:offset " for each token, so that duplicated and missing tokens and those
+// of other generations are detected. The zero value is ready for use.
 type TokenCheck struct {
 	// Tokens is the number of tokens checked so far.
 	Tokens int
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -46,6 +46,7 @@
 	caller atomic.Pointer[client.Client]
 	stop   chan struct{}
 	active sync.WaitGroup
+	// prefix starts the idempotency keys of bookings.
 	prefix string
 	begun  time.Time
 
@@ -123,8 +124,8 @@
 	change(tr.re)
 }
 
-// observe records the time since from in hi and the timeline, and returns the
-// current time.
+// observe records the time since from in hi and, unless hi is that of first tokens,
+// in the timeline. It returns the current time.
 func (tr *traffic) observe(hi *hdrhistogram.Histogram, from time.Time) time.Time {
 	now := time.Now()
 	micros := min(now.Sub(from).Microseconds(), longestLatencyMicros)
@@ -250,8 +251,9 @@
 	tr.caller.Store(newCaller(entries))
 }
 
-// removeEntry removes an entry instance that is about to stop from those that new
-// requests use, as a load balancer does once the instance is not ready.
+// removeEntry removes an entry instance that is about to stop or was killed from
+// those that new requests use, as a load balancer does once the instance is not
+// ready.
 func (tr *traffic) removeEntry(url string) {
 	entries := slices.DeleteFunc(slices.Clone(tr.caller.Load().Entries), func(it string) bool { return it == url })
 	tr.caller.Store(newCaller(entries))
--- a/internal/scenario/verify.go
+++ b/internal/scenario/verify.go
@@ -88,4 +88,4 @@
 	return count, nil
 }
 
-func plural(count int, what string) string { return fmt.Sprintf("%d %s", count, what) }
+func formatCount(count int, what string) string { return fmt.Sprintf("%d %s", count, what) }
--- a/internal/scenario/zone.go
+++ b/internal/scenario/zone.go
@@ -8,10 +8,10 @@
 
 const (
 	// zoneOutLimit is how long new work may still start in a zone after it was
-	// taken out.
+	// taken out of service.
 	zoneOutLimit = 3 * time.Second
-	// zoneOutObservation is how long the zone stays out after the limit, while
-	// starts are counted as late.
+	// zoneOutObservation is how long the zone stays out of service after the
+	// limit. Work that starts in this time counts as late.
 	zoneOutObservation = 3 * time.Second
 	// zoneReturnPeriod is the time within which the zone has to receive work
 	// again after it was brought back.
@@ -24,8 +24,8 @@
 	run:   runZone,
 }
 
-// runZone takes zilina-b out, counts work that starts there after the limit,
-// brings the zone back and checks that it receives work again.
+// runZone takes zilina-b out of service, counts work that starts there after the
+// limit, brings the zone back and checks that it receives work again.
 func runZone(st *state) error {
 	st.wait(2 * time.Second)
 	confirmed := time.Now()
--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -1,7 +1,7 @@
 // Package slope extrapolates measurements at a few sizes linearly to a larger
 // size.
 //
-// Tests and load tool runs print one line for each size, anywhere in their output:
+// Tests and the load tool print one line for each size, anywhere in their output:
 //
 //	slope: control instances=20 messages_per_s=16 bytes_per_s=933
 //
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -83,7 +83,9 @@
 	running []*generation
 	waiting []*generation
 	// generations has all generations that can be resumed, by id.
-	generations   map[string]*generation
+	generations map[string]*generation
+	// prefixes is the prefix cache. Its keys are hashes of prefixes, and its
+	// values are not read.
 	prefixes      map[uint64]int64
 	cacheLog      []endpoint.CacheEvent
 	report        endpoint.Load
@@ -106,14 +108,16 @@
 	seed     uint64
 	priority int
 	// prompt is the length of the prompt, length that of the answer and done the
-	// number of generated tokens, all in tokens.
+	// number of generated tokens, including those of a forced prefix. All are in
+	// tokens.
 	prompt int
 	length int64
 	done   int64
 	// heldTokens is the KV-cache memory in use, zero while waiting.
 	heldTokens int
 	readers    int
-	// readersChangedAt is the time at which a reader last came or left.
+	// readersChangedAt is the time at which the generation was created or a
+	// reader last connected or disconnected.
 	readersChangedAt time.Time
 	canceled         bool
 	chat             bool
@@ -208,8 +212,8 @@
 	writeJSON(ctx, list)
 }
 
-// serveOrder records an order, and refuses it if its fencing token is older than
-// the newest one received.
+// serveOrder records an order, or refuses it if its fencing token is lower than
+// the highest one received.
 func (en *Engine) serveOrder(ctx *fasthttp.RequestCtx) {
 	fencing, err := strconv.ParseInt(string(ctx.Request.Header.Peek(endpoint.FencingHeader)), 10, 64)
 	var or endpoint.Order
@@ -314,7 +318,7 @@
 }
 
 // serveGeneration resumes the event stream of a generation at an offset, or cancels
-// the generation on DELETE. With the header for unread generations, it refuses to
+// the generation on DELETE. With the header endpoint.UnreadHeader, it refuses to
 // cancel a generation that has a reader.
 func (en *Engine) serveGeneration(ctx *fasthttp.RequestCtx, rest string) {
 	id, events := strings.CutSuffix(rest, "/events")
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -18,7 +18,7 @@
 	// watchTimeout is how long a watch request waits for a change.
 	watchTimeout = 20 * time.Second
 	// minEvents is the number of latest changes that watches can always read.
-	// Older ones are discarded at twice this number.
+	// When more than twice as many are stored, older ones are discarded.
 	minEvents = 65536
 )
 
@@ -105,9 +105,9 @@
 	defer pl.stateMu.Unlock()
 	pl.reads++
 	shown := []platform.Instance{}
-	for ix, da := range pl.lists {
-		if ix == 0 || time.Since(da.at) >= pl.ListLag {
-			shown = da.list
+	for ix, il := range pl.lists {
+		if ix == 0 || time.Since(il.at) >= pl.ListLag {
+			shown = il.list
 		}
 	}
 	return shown
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -24,7 +24,8 @@
 	// ModeSlow delays each answer, and each write to a stream, by 500 ms.
 	ModeSlow Mode = "slow"
 	// ModeSilent stops all answers to requests that were received before the
-	// fault, without closing their connections.
+	// fault, without closing their connections. These answers do not continue
+	// when the fault ends.
 	ModeSilent Mode = "silent"
 	// ModeCrash exits the process, at once or when a request matches.
 	ModeCrash Mode = "crash"
@@ -52,8 +53,9 @@
 	Match string `json:"match,omitempty"`
 }
 
-// Call is an element of the answer to GET /standin/calls. The key is the idempotency
-// key of a call or the id of a generation, and At a time in RFC 3339 format.
+// Call is an element of the answer to GET /standin/calls. Key is the idempotency
+// key of a call or the id of a generation, Offset is the number of tokens that the
+// caller of a generation already has, and At is a time in RFC 3339 format.
 type Call struct {
 	Key    string `json:"key"`
 	Path   string `json:"path"`
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -28,14 +28,14 @@
 			if en.currentFault().Mode == ModeSlow {
 				time.Sleep(slowDelay)
 			}
-			done, over, canceled, news := en.progress(ge)
+			done, complete, canceled, nextToken := en.progress(ge)
 			if canceled {
 				return
 			}
 			for ; at < done; at++ {
 				writeToken(wr, ge, at)
 			}
-			if over {
+			if complete {
 				_, _ = wr.WriteString("data: [DONE]\n\n")
 				_ = wr.Flush()
 				return
@@ -44,7 +44,7 @@
 				return
 			}
 			select {
-			case <-news:
+			case <-nextToken:
 			case <-time.After(streamPoll):
 				_, _ = wr.WriteString(": waiting\n\n")
 			}
@@ -59,16 +59,16 @@
 	ge.readersChangedAt = time.Now()
 }
 
-// progress returns the number of generated tokens, whether the generation is over
-// or canceled, and a channel that is closed at the next token.
-func (en *Engine) progress(ge *generation) (done int64, over, canceled bool, news chan struct{}) {
+// progress returns the number of generated tokens, whether the generation is
+// complete or canceled, and a channel that is closed at the next token.
+func (en *Engine) progress(ge *generation) (done int64, complete, canceled bool, nextToken chan struct{}) {
 	en.stateMu.Lock()
 	defer en.stateMu.Unlock()
 	return ge.done, ge.done >= ge.length, ge.canceled, ge.changed
 }
 
 // writeToken writes an event whose text contains the seed and the offset, so that
-// callers can detect duplicated, missing and foreign tokens.
+// callers can detect duplicated and missing tokens and those of other generations.
 func writeToken(wr *bufio.Writer, ge *generation, offset int64) {
 	var raw [24]byte
 	number := strconv.AppendInt(raw[:0], offset, 10)
