--- a/internal/call/idempotent.go
+++ b/internal/call/idempotent.go
@@ -31,13 +31,13 @@
 		if !errors.As(err, &ee) {
 			return an, ha.noResponseRefusal(oc, err, sent.Load() > 0)
 		}
-		tr := retry.Try{
+		at := retry.Attempt{
 			Service: service, Number: number, Reason: retry.Lost, Idempotent: true, Left: ha.Clock.Until(oc.ex.Deadline),
 		}
 		if ee.Kind == endpoint.Unreachable {
-			tr.Reason = retry.NotBegun
+			at.Reason = retry.NotBegun
 		}
-		pause, again := ha.Retries.Again(tr)
+		pause, again := ha.Retries.Decide(at)
 		if !again {
 			return an, withDispatched(refusalFor(err), sent.Load() > 0)
 		}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -48,7 +48,7 @@
 // puts on it.
 type destination struct {
 	endpoint roster.Endpoint
-	work     placement.Work
+	demand   placement.Demand
 	// standby is nil if no standby copy of the run is kept.
 	standby *standby
 }
@@ -73,7 +73,7 @@
 	if ta.route.Repeat == routing.Idempotent {
 		at.MaxIdle = maxIdleIdempotent
 	}
-	ti := di.Board.Begin(en, de.work)
+	ti := di.Tracker.Begin(en, de.demand)
 	an, err := di.Sender.Do(ctx, di.Codec.Call(ta.Request, at))
 	if err != nil {
 		return di.handleSendError(ctx, ta, en, ti, err)
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -15,14 +15,14 @@
 func (di *Dispatcher) serveBuffered(ctx context.Context, ta *task) Reply {
 	ctx, cancel := context.WithDeadline(ctx, ta.deadline)
 	defer cancel()
-	wo := di.work(ta)
+	dm := di.demand(ta)
 	for {
-		en, er := di.chooseEndpoint(ta, wo)
+		en, er := di.chooseEndpoint(ta, dm)
 		if er != nil {
 			er.Dispatched = ta.ran > 0
 			return di.refuse(ta.Request, er)
 		}
-		re := di.attempt(ctx, ta, destination{endpoint: en, work: wo})
+		re := di.attempt(ctx, ta, destination{endpoint: en, demand: dm})
 		if re.step == deliver {
 			re = di.readBody(ctx, ta, en, re)
 			if re.step == deliver {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -70,7 +70,7 @@
 func (ha *harness) preferInOrder() {
 	for ix, rp := range ha.replicas {
 		for range ix {
-			ha.Board.Begin(roster.Endpoint{ID: rp.id}, placement.Work{})
+			ha.Tracker.Begin(roster.Endpoint{ID: rp.id}, placement.Demand{})
 		}
 	}
 }
@@ -235,7 +235,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(rp.Events.Close()).To(Succeed())
 	g.Expect(log.String()).To(ContainSubstring(`"event":"stream_given_up"`))
-	g.Expect(ha.Board.Loads()).To(BeEmpty())
+	g.Expect(ha.Tracker.Loads()).To(BeEmpty())
 	before := log.Len()
 	g.Expect(rp.Events.Close()).To(Succeed())
 	g.Expect(log.Len()).To(Equal(before), "a stream ends only once")
@@ -250,7 +250,7 @@
 }
 
 func (mo *moverOnce) Add(ru *migration.Run) {
-	ru.Complete(migration.Moved{From: ru.Endpoint(), Handle: "h1", Target: mo.target, Ticket: mo.harness.Board.Begin(mo.target, placement.Work{})})
+	ru.Complete(migration.Moved{From: ru.Endpoint(), Handle: "h1", Target: mo.target, Ticket: mo.harness.Tracker.Begin(mo.target, placement.Demand{})})
 }
 
 func (mo *moverOnce) Remove(*migration.Run) { mo.removed = true }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -24,14 +24,14 @@
 // Dispatcher answers requests. Set the exported fields before the first
 // request. It is safe for concurrent use.
 type Dispatcher struct {
-	State  *routing.State
-	Roster *roster.Roster
-	Board  *placement.Board
-	Budget *budget.Window
-	Sender Sender
-	Codec  Codec
-	Clock  clockwork.Clock
-	Log    zerolog.Logger
+	State   *routing.State
+	Roster  *roster.Roster
+	Tracker *placement.LoadTracker
+	Budget  *budget.Window
+	Sender  Sender
+	Codec   Codec
+	Clock   clockwork.Clock
+	Log     zerolog.Logger
 	// Ages returns the limits on how old the store's confirmation of the
 	// configuration may be.
 	Ages func() Ages
@@ -191,18 +191,18 @@
 }
 
 // work describes the load that a task puts on an endpoint.
-func (di *Dispatcher) work(ta *task) placement.Work {
-	wo := placement.Work{Engine: ta.service.Engine, Prompt: ta.Prompt.Tokens, Output: di.outputEstimator.estimate(ta.route.Name, ta.Prompt)}
+func (di *Dispatcher) demand(ta *task) placement.Demand {
+	dm := placement.Demand{Engine: ta.service.Engine, Prompt: ta.Prompt.Tokens, Output: di.outputEstimator.estimate(ta.route.Name, ta.Prompt)}
 	if ta.service.ColdRate > 0 {
-		wo.ColdRate = max(ta.service.ColdRate/float64(max(di.Members(), 1)), 1)
+		dm.ColdRate = max(ta.service.ColdRate/float64(max(di.Members(), 1)), 1)
 	}
-	return wo
+	return dm
 }
 
 // chooseEndpoint returns a ready endpoint that the task has not tried yet.
-func (di *Dispatcher) chooseEndpoint(ta *task, wo placement.Work) (roster.Endpoint, *refusal.Error) {
+func (di *Dispatcher) chooseEndpoint(ta *task, dm placement.Demand) (roster.Endpoint, *refusal.Error) {
 	ready := di.Roster.View().Ready(ta.service.Name)
-	ch, found := di.Board.Choose(ready, wo, ta.tried)
+	ch, found := di.Tracker.Choose(ready, dm, ta.tried)
 	if found {
 		di.logPlacement(ta, ch, len(ready))
 		return ch.Endpoint, nil
@@ -219,7 +219,7 @@
 		return
 	}
 	di.Log.Info().Str("event", "placed").Str("request", ta.ID).Str("endpoint", ch.Endpoint.ID).Str("zone", ch.Endpoint.Zone).
-		Float64("cost_ms", ch.Cost).Int("running", ch.Load.Running).Int("reading", ch.Load.Reading).Int("held", ch.Load.Held).
+		Float64("cost_ms", ch.Cost).Int("running", ch.Load.Running).Int("reading", ch.Load.PrefillTokens).Int("held", ch.Load.ReservedTokens).
 		Int("ready", ready).Int("prompt", ta.Prompt.Tokens).Msg("dispatch: engine chosen")
 }
 
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -154,9 +154,9 @@
 	boot.Advance(time.Hour)
 	ha := &harness{t: t, boot: boot, Dispatcher: &Dispatcher{
 		State: &routing.State{Clock: boot}, Roster: &roster.Roster{Clock: clock, Log: zerolog.Nop()},
-		Board:  &placement.Board{Clock: clock, Zone: "a", Instance: "i"},
-		Budget: &budget.Window{Clock: clock, Span: time.Minute, Extra: func() float64 { return 2 }},
-		Sender: &upstream.Pool{IDHeader: "Id", Clock: clock}, Codec: testCodec{}, Clock: clock, Log: zerolog.Nop(),
+		Tracker: &placement.LoadTracker{Clock: clock, Zone: "a", Instance: "i"},
+		Budget:  &budget.Window{Clock: clock, Span: time.Minute, Extra: func() float64 { return 2 }},
+		Sender:  &upstream.Pool{IDHeader: "Id", Clock: clock}, Codec: testCodec{}, Clock: clock, Log: zerolog.Nop(),
 		Ages:    func() Ages { return Ages{Key: 4 * time.Second, Deny: 4 * time.Second} },
 		Members: func() int { return 1 },
 	}}
--- a/internal/dispatch/standby.go
+++ b/internal/dispatch/standby.go
@@ -6,9 +6,9 @@
 	"filbertstall.example/filbertstall/internal/roster"
 )
 
-// minStandbyTokens is the least value of placement.Work.Output, in tokens, for
-// which a run gets a standby copy. A shorter run most likely ends before its
-// engine fails or leaves.
+// minStandbyTokens is the least value of placement.Demand.Output, in tokens,
+// for which a run gets a standby copy. A shorter run most likely ends before
+// its engine fails or leaves.
 const minStandbyTokens = 64
 
 // standby is the engine that keeps an incrementally updated copy of a run. A
@@ -21,15 +21,15 @@
 // reserveStandby chooses an engine for the standby copy of a run on primary and
 // reserves memory there. It returns nil if the service keeps no standby copies,
 // the run is too short to need one, or no engine has enough free memory.
-func (di *Dispatcher) reserveStandby(ta *task, primary roster.Endpoint, wo placement.Work) *standby {
-	if wo.Engine == nil || !wo.Engine.Standbys || wo.Output < minStandbyTokens {
+func (di *Dispatcher) reserveStandby(ta *task, primary roster.Endpoint, dm placement.Demand) *standby {
+	if dm.Engine == nil || !dm.Engine.Standbys || dm.Output < minStandbyTokens {
 		return nil
 	}
-	en, found := di.Board.ChooseStandby(di.Roster.View().Ready(ta.service.Name), wo, primary.ID)
+	en, found := di.Tracker.ChooseStandby(di.Roster.View().Ready(ta.service.Name), dm, primary.ID)
 	if !found {
 		return nil
 	}
-	return &standby{endpoint: en, ticket: di.Board.Reserve(en, wo)}
+	return &standby{endpoint: en, ticket: di.Tracker.Reserve(en, dm)}
 }
 
 // address returns the address of the engine that keeps the copy, or an empty
@@ -72,7 +72,7 @@
 	if !usable || en.Started != sb.endpoint.Started {
 		return migration.Moved{}, false
 	}
-	ti := se.di.Board.Begin(en, se.work)
+	ti := se.di.Tracker.Begin(en, se.demand)
 	ti.Started()
 	se.di.Log.Info().Str("event", "taken_over").Str("request", se.ta.ID).Str("endpoint", se.endpoint.ID).Str("target", en.ID).
 		Str("last_event", se.lastEvent).Msg("dispatch: resuming the run from its standby copy")
--- a/internal/dispatch/standby_test.go
+++ b/internal/dispatch/standby_test.go
@@ -48,7 +48,7 @@
 	g.Expect(first.lastHeader().Get("Standby")).To(Equal(second.Addr().String()))
 	g.Expect(second.lastHeader().Get("From")).To(Equal(re.ID), "the handle of a standby copy is the request ID")
 	g.Expect(second.lastHeader().Get("Last")).To(Equal("3"))
-	g.Expect(ha.Board.Loads()).To(BeEmpty(), "all tickets are ended")
+	g.Expect(ha.Tracker.Loads()).To(BeEmpty(), "all tickets are ended")
 }
 
 func TestStreamsWithoutStandby(t *testing.T) {
@@ -60,7 +60,7 @@
 		{"not enough free memory", func(ha *harness, _ *Request) {
 			for _, id := range []string{"e0", "e1"} {
 				en, _ := ha.Roster.View().Get(id)
-				ha.Board.Begin(en, placement.Work{Engine: ha.engine(), Prompt: 6000})
+				ha.Tracker.Begin(en, placement.Demand{Engine: ha.engine(), Prompt: 6000})
 			}
 		}},
 		{"the zone of the copy has been evacuated", func(ha *harness, _ *Request) {
@@ -94,8 +94,8 @@
 	en := roster.Endpoint{ID: "e0", Service: "s", Started: 1}
 	ha.Roster.Apply([]feed.Change[roster.Endpoint]{{Object: feed.Object[roster.Endpoint]{Name: "e0", Value: &en}}})
 	se := &session{di: ha.Dispatcher, ta: &task{Request: ha.longRequest()}}
-	se.work = placement.Work{Engine: ha.engine(), Prompt: 100, Output: 100}
-	reserve := func() { se.standby = &standby{endpoint: en, ticket: ha.Board.Reserve(en, se.work)} }
+	se.demand = placement.Demand{Engine: ha.engine(), Prompt: 100, Output: 100}
+	reserve := func() { se.standby = &standby{endpoint: en, ticket: ha.Tracker.Reserve(en, se.demand)} }
 	reserve()
 	restarted := en
 	restarted.Started = 2
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -29,14 +29,14 @@
 // serveStream answers a request with the events of one run.
 func (di *Dispatcher) serveStream(ctx context.Context, ta *task) Reply {
 	ctx, cancel := context.WithDeadline(ctx, ta.deadline)
-	wo := di.work(ta)
+	dm := di.demand(ta)
 	for {
-		en, er := di.chooseEndpoint(ta, wo)
+		en, er := di.chooseEndpoint(ta, dm)
 		if er != nil {
 			cancel()
 			return di.refuse(ta.Request, er)
 		}
-		de := destination{endpoint: en, work: wo, standby: di.reserveStandby(ta, en, wo)}
+		de := destination{endpoint: en, demand: dm, standby: di.reserveStandby(ta, en, dm)}
 		re := di.attempt(ctx, ta, de)
 		if re.step != deliver || re.answer.Status != http.StatusOK {
 			de.standby.release()
@@ -97,7 +97,7 @@
 	if ta.service.Engine != nil && ta.service.Engine.Migrates && di.Runs != nil {
 		se.run = &migration.Run{
 			ID: ta.ID, Service: ta.service.Name, Engine: ta.service.Engine,
-			Prompt: ta.Prompt.Tokens, MaxOutput: ta.Prompt.MaxOutput, Output: de.work.Output,
+			Prompt: ta.Prompt.Tokens, MaxOutput: ta.Prompt.MaxOutput, Output: de.demand.Output,
 		}
 		se.run.SetEndpoint(en)
 		se.run.SetStandby(de.standby.id())
@@ -251,7 +251,7 @@
 func (se *session) resume(mv migration.Moved) error {
 	di := se.di
 	se.standby.release()
-	se.standby = di.reserveStandby(se.ta, mv.Target, se.work)
+	se.standby = di.reserveStandby(se.ta, mv.Target, se.demand)
 	if se.run != nil {
 		se.run.SetStandby(se.standby.id())
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -79,12 +79,12 @@
 	settings    snapshot.Holder[Settings]
 	state       routing.State
 	roster      roster.Roster
-	board       placement.Board
+	tracker     placement.LoadTracker
 	members     loadshare.Members
 	relay       relay.Log
 	relaySwitch relay.Switch
 	suspects    *suspicion.Registry
-	turns       loadshare.Turns
+	moveOrder   loadshare.MoveOrder
 	pool        upstream.Pool
 	ingress     ingress.Server
 	ready       *readiness
@@ -156,17 +156,17 @@
 	se := gw.Settings
 	gw.settings.Store(&se)
 	gw.state = routing.State{Clock: gw.Boot}
-	gw.board = placement.Board{Clock: gw.Clock, Zone: se.Zone, Instance: se.Instance, Changes: make(chan struct{}, 1)}
-	gw.turns = loadshare.Turns{Instance: se.Instance, Changes: gw.board.Changes}
+	gw.tracker = placement.LoadTracker{Clock: gw.Clock, Zone: se.Zone, Instance: se.Instance, Changes: make(chan struct{}, 1)}
+	gw.moveOrder = loadshare.MoveOrder{Instance: se.Instance, Changes: gw.tracker.Changes}
 	gw.pool = upstream.Pool{IDHeader: gw.Adapter.IDHeader, Clock: gw.Clock}
 	engines := gw.Adapter.Engines(&gw.pool)
-	mover := &migration.Mover{Engines: engines, Roster: &gw.roster, Board: &gw.board, Clock: gw.Clock, Log: gw.Log, Turns: &gw.turns}
+	mover := &migration.Mover{Engines: engines, Roster: &gw.roster, Tracker: &gw.tracker, Clock: gw.Clock, Log: gw.Log, MoveOrder: &gw.moveOrder}
 	gw.roster = roster.Roster{Clock: gw.Clock, Log: gw.Log, OnLeave: mover.Leaving, OnChange: gw.relay.Observe}
 	gw.relay = relay.Log{Boot: gw.Boot, Roster: &gw.roster, State: &gw.state, Now: gw.Clock.Now, Epoch: gw.Clock.Now().UnixNano()}
 	gw.suspects = &suspicion.Registry{Caller: &peer.Client{}, Peers: gw.crashRecipients, Clock: gw.Clock}
 	hangups := &hangup.Watcher{Clock: gw.Clock}
 	di := &dispatch.Dispatcher{
-		State: &gw.state, Roster: &gw.roster, Board: &gw.board, Sender: &gw.pool, Codec: gw.Adapter.Codec, Clock: gw.Clock, Log: gw.Log,
+		State: &gw.state, Roster: &gw.roster, Tracker: &gw.tracker, Sender: &gw.pool, Codec: gw.Adapter.Codec, Clock: gw.Clock, Log: gw.Log,
 		Budget: se.budget(gw.Clock, gw.instanceCount), Ages: gw.maxAges, Members: gw.instanceCount,
 		Runs: mover, Suspects: gw.suspects, Reachable: gw.pool.Reachable, Meter: &dispatch.Meter{Scope: gw.metrics.Scope},
 	}
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -82,7 +82,7 @@
 		if tick%ticksPerPrune == 0 {
 			ex.gw.pool.Prune()
 			vi := ex.gw.roster.View()
-			ex.gw.board.Forget(func(id string) bool { _, known := vi.Get(id); return known })
+			ex.gw.tracker.Forget(func(id string) bool { _, known := vi.Get(id); return known })
 		}
 	}
 }
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -16,9 +16,9 @@
 // instances and share the reading of the store with them.
 func (gw *Gateway) peerControllers(li listeners) []controller.Controller {
 	se := gw.Settings
-	self := loadshare.Member{Name: se.Instance, Zone: se.Zone, Address: netip.MustParseAddrPort(se.Peers), Link: se.LinkMbps}
+	self := loadshare.Member{Name: se.Instance, Zone: se.Zone, Address: netip.MustParseAddrPort(se.Peers), LinkMbps: se.LinkMbps}
 	exchange := &loadshare.Exchange{
-		Conn: li.peers, Instance: se.Instance, Zone: se.Zone, Board: &gw.board, Members: &gw.members, Turns: &gw.turns, Clock: gw.Clock, Log: gw.Log,
+		Conn: li.peers, Instance: se.Instance, Zone: se.Zone, Tracker: &gw.tracker, Members: &gw.members, MoveOrder: &gw.moveOrder, Clock: gw.Clock, Log: gw.Log,
 	}
 	peers := &peer.Server{Listener: li.calls}
 	err := errors.Join(peers.Register(relay.ServiceName, gw.relay.Service()), peers.Register(suspicion.ServiceName, gw.suspects.Service()))
@@ -27,7 +27,7 @@
 		panic(err)
 	}
 	gw.relaySwitch = relay.Switch{
-		Log: &gw.relay, Caller: &peer.Client{}, Self: se.Instance, Zone: se.Zone, Members: &gw.members, Alive: exchange.Heard,
+		Log: &gw.relay, Caller: &peer.Client{}, Self: se.Instance, Zone: se.Zone, Members: &gw.members, Alive: exchange.IsAlive,
 		Configuration: gw.followConfiguration(), Others: gw.followEndpointsAndEvacuations(), Fetch: gw.fetchConfiguration, Decode: gw.Adapter.DecodeConfiguration,
 		Roster: &gw.roster, State: &gw.state, Clock: gw.Clock, Boot: gw.Boot, Logger: gw.Log,
 	}
--- a/internal/generation/recovery.go
+++ b/internal/generation/recovery.go
@@ -134,14 +134,14 @@
 	if se.ha.Retries == nil {
 		return true
 	}
-	tr := retry.Try{Service: se.re.Service, Number: 1, Reason: retry.Lost, Idempotent: true}
+	at := retry.Attempt{Service: se.re.Service, Number: 1, Reason: retry.Lost, Idempotent: true}
 	switch resultOf(cause) {
 	case admission.NotBegun:
-		tr.Reason = retry.NotBegun
+		at.Reason = retry.NotBegun
 	case admission.Failed:
-		tr.Reason = retry.Failed
+		at.Reason = retry.Failed
 	}
-	pause, again := se.ha.Retries.Again(tr)
+	pause, again := se.ha.Retries.Decide(at)
 	if again {
 		se.ha.Clock.Sleep(pause)
 	}
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -102,7 +102,7 @@
 		ro.Reset([]feed.Object[roster.Endpoint]{{Name: "e", Value: &roster.Endpoint{ID: "e", Service: "s", Address: address, Slots: 4}}})
 	}
 	di := &dispatch.Dispatcher{
-		State: st, Roster: ro, Board: &placement.Board{Clock: clock}, Budget: &budget.Window{Clock: clock, Span: time.Minute, Extra: func() float64 { return 0 }}, Codec: testCodec{},
+		State: st, Roster: ro, Tracker: &placement.LoadTracker{Clock: clock}, Budget: &budget.Window{Clock: clock, Span: time.Minute, Extra: func() float64 { return 0 }}, Codec: testCodec{},
 		Sender: &upstream.Pool{IDHeader: "Id", Clock: clock}, Clock: clock, Log: zerolog.Nop(), Members: func() int { return 1 },
 		Ages: func() dispatch.Ages { return dispatch.Ages{Key: time.Hour, Deny: time.Hour} },
 	}
--- a/internal/loadshare/doc.go
+++ b/internal/loadshare/doc.go
@@ -11,6 +11,6 @@
 //
 // # Usage
 //
-//	ex := &loadshare.Exchange{Conn: conn, Instance: "edge-1", Board: bo, Members: members, Clock: clock, Log: log}
+//	ex := &loadshare.Exchange{Conn: conn, Instance: "edge-1", Tracker: lt, Members: members, MoveOrder: order, Clock: clock, Log: log}
 //	err := ex.Run(ctx) // a controller.Controller
 package loadshare
--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -36,18 +36,18 @@
 }
 
 // Exchange sends the loads of this instance to the others and applies theirs to
-// the Board. Set the exported fields before Run.
+// the Tracker. Set the exported fields before Run.
 type Exchange struct {
 	Conn     Conn
 	Instance string
 	Zone     string
-	Board    *placement.Board
+	Tracker  *placement.LoadTracker
 	Members  *Members
-	// Turns supplies the pending moves of this instance and receives those of the
-	// others. Its Instance must be set.
-	Turns *Turns
-	Clock clockwork.Clock
-	Log   zerolog.Logger
+	// MoveOrder supplies the pending moves of this instance and receives those of
+	// the others. Its Instance must be set.
+	MoveOrder *MoveOrder
+	Clock     clockwork.Clock
+	Log       zerolog.Logger
 
 	mu      sync.Mutex
 	senders map[string]*sender
@@ -85,10 +85,10 @@
 			return nil
 		case <-ti.Chan():
 			ex.expireSilent()
-		case <-ex.Board.Changes:
+		case <-ex.Tracker.Changes:
 		}
 		sameZone, otherZones := ex.Members.recipients(ex.Instance, ex.Zone)
-		moves, unsent := ex.Turns.announced()
+		moves, unsent := ex.MoveOrder.announced()
 		// A message with changed announcements goes to other zones at once. Other
 		// messages go there at most once per remoteSendInterval.
 		if now := ex.Clock.Now(); unsent || now.Sub(lastRemoteSend) >= remoteSendInterval(len(otherZones)) {
@@ -96,7 +96,7 @@
 			sameZone = append(sameZone, otherZones...)
 		}
 		me.Sequence++
-		me.Loads, me.Moves = ex.Board.Loads(), moves
+		me.Loads, me.Moves = ex.Tracker.Loads(), moves
 		data := encode(me)
 		for _, to := range sameZone {
 			// A failed send is ignored: the next heartbeat sends to the address again.
@@ -155,8 +155,8 @@
 		return
 	}
 	ex.senders[me.Instance] = &sender{startedAt: me.Started, sequence: me.Sequence, receivedAt: ex.Clock.Now()}
-	ex.Board.SetRemoteLoads(me.Instance, me.Loads)
-	ex.Turns.apply(me.Instance, me.Moves)
+	ex.Tracker.SetRemoteLoads(me.Instance, me.Loads)
+	ex.MoveOrder.apply(me.Instance, me.Moves)
 }
 
 // expireSilent drops the loads and announced moves of instances that have sent
@@ -167,16 +167,16 @@
 	defer ex.mu.Unlock()
 	for name, se := range ex.senders {
 		if now.Sub(se.receivedAt) > senderExpiry {
-			ex.Board.SetRemoteLoads(name, nil)
-			ex.Turns.apply(name, nil)
+			ex.Tracker.SetRemoteLoads(name, nil)
+			ex.MoveOrder.apply(name, nil)
 			delete(ex.senders, name)
 		}
 	}
 }
 
-// Heard reports whether a message of another instance has arrived and not yet
+// IsAlive reports whether a message of another instance has arrived and not yet
 // expired.
-func (ex *Exchange) Heard(name string) bool {
+func (ex *Exchange) IsAlive(name string) bool {
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
 	return ex.senders[name] != nil
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -30,8 +30,8 @@
 			Sequence: rapid.Uint64().Draw(rt, "sequence"),
 			Loads: rapid.MapOfN(rapid.String(), rapid.Custom(func(rt *rapid.T) placement.Load {
 				return placement.Load{
-					Running: rapid.IntRange(0, 500).Draw(rt, "running"), Reading: rapid.IntRange(0, 1<<20).Draw(rt, "reading"),
-					Held: rapid.IntRange(0, 1<<30).Draw(rt, "held"),
+					Running: rapid.IntRange(0, 500).Draw(rt, "running"), PrefillTokens: rapid.IntRange(0, 1<<20).Draw(rt, "reading"),
+					ReservedTokens: rapid.IntRange(0, 1<<30).Draw(rt, "held"),
 				}
 			}), 0, 20).Draw(rt, "loads"),
 			Moves: rapid.MapOfN(rapid.String(), rapid.IntRange(0, 100), 0, 5).Draw(rt, "moves"),
@@ -60,7 +60,7 @@
 			t.Error("decode accepted a message without a sender")
 		}
 		for id, lo := range me.Loads {
-			if lo.Running < 0 || lo.Reading < 0 || lo.Held < 0 {
+			if lo.Running < 0 || lo.PrefillTokens < 0 || lo.ReservedTokens < 0 {
 				t.Errorf("decode returned a negative load for endpoint %q", id)
 			}
 		}
@@ -68,9 +68,9 @@
 }
 
 func newExchange(clock clockwork.Clock, name string) *Exchange {
-	bo := &placement.Board{Clock: clock, Zone: "a", Instance: name, Changes: make(chan struct{}, 1)}
+	lt := &placement.LoadTracker{Clock: clock, Zone: "a", Instance: name, Changes: make(chan struct{}, 1)}
 	return &Exchange{
-		Instance: name, Zone: "a", Board: bo, Members: &Members{}, Turns: &Turns{Instance: name, Changes: bo.Changes}, Clock: clock, Log: zerolog.Nop(),
+		Instance: name, Zone: "a", Tracker: lt, Members: &Members{}, MoveOrder: &MoveOrder{Instance: name, Changes: lt.Changes}, Clock: clock, Log: zerolog.Nop(),
 	}
 }
 
@@ -87,7 +87,7 @@
 		ex.apply(encode(message{Instance: "i2", Started: started, Sequence: sequence, Loads: map[string]placement.Load{"e": {Running: running}}}))
 	}
 	runningTotal := func() float64 {
-		ch, _ := ex.Board.Choose([]roster.Endpoint{{ID: "e", Zone: "a"}}, placement.Work{Engine: engine}, nil)
+		ch, _ := ex.Tracker.Choose([]roster.Endpoint{{ID: "e", Zone: "a"}}, placement.Demand{Engine: engine}, nil)
 		return float64(ch.Load.Running)
 	}
 	send(1, 5, 3)
@@ -100,11 +100,11 @@
 	send(1, 6, 9)
 	g.Expect(runningTotal()).To(BeEquivalentTo(1), "a message sent before the restart must be ignored")
 	ex.apply([]byte("no message"))
-	g.Expect(ex.Heard("i2")).To(BeTrue())
+	g.Expect(ex.IsAlive("i2")).To(BeTrue())
 	clock.Advance(senderExpiry + time.Millisecond)
 	ex.expireSilent()
 	g.Expect(runningTotal()).To(BeZero(), "the loads of a silent instance must expire")
-	g.Expect(ex.Heard("i2")).To(BeFalse())
+	g.Expect(ex.IsAlive("i2")).To(BeFalse())
 }
 
 func TestTurns(t *testing.T) {
@@ -113,22 +113,22 @@
 	if rank("e", first) > rank("e", second) {
 		first, second = second, first
 	}
-	tu := &Turns{Instance: second}
-	tu.apply(first, map[string]int{"e": 2})
-	g.Expect(tu.Ahead("e")).To(Equal(2))
-	g.Expect(tu.Ahead("other")).To(BeZero())
-	tu.apply(first, map[string]int{"e": 1})
-	g.Expect(tu.Ahead("e")).To(Equal(1))
-	tu.apply(first, nil)
-	g.Expect(tu.Ahead("e")).To(BeZero())
-	tu = &Turns{Instance: first}
-	tu.apply(second, map[string]int{"e": 2})
-	g.Expect(tu.Ahead("e")).To(BeZero(), "instances later in the order do not count")
-	tu.Announce("e", 3)
-	moves, unsent := tu.announced()
+	mo := &MoveOrder{Instance: second}
+	mo.apply(first, map[string]int{"e": 2})
+	g.Expect(mo.Ahead("e")).To(Equal(2))
+	g.Expect(mo.Ahead("other")).To(BeZero())
+	mo.apply(first, map[string]int{"e": 1})
+	g.Expect(mo.Ahead("e")).To(Equal(1))
+	mo.apply(first, nil)
+	g.Expect(mo.Ahead("e")).To(BeZero())
+	mo = &MoveOrder{Instance: first}
+	mo.apply(second, map[string]int{"e": 2})
+	g.Expect(mo.Ahead("e")).To(BeZero(), "instances later in the order do not count")
+	mo.Announce("e", 3)
+	moves, unsent := mo.announced()
 	g.Expect(moves).To(Equal(map[string]int{"e": 3}))
 	g.Expect(unsent).To(BeTrue())
-	_, unsent = tu.announced()
+	_, unsent = mo.announced()
 	g.Expect(unsent).To(BeFalse())
 }
 
@@ -158,12 +158,12 @@
 		go func() { _ = ex.Run(ctx) }()
 	}
 	en := roster.Endpoint{ID: "e", Zone: "a"}
-	ti := list[0].Board.Begin(en, placement.Work{Engine: engine, Prompt: 700, Output: 100})
+	ti := list[0].Tracker.Begin(en, placement.Demand{Engine: engine, Prompt: 700, Output: 100})
 	load := func() placement.Load {
-		ch, _ := list[1].Board.Choose([]roster.Endpoint{en}, placement.Work{Engine: engine}, nil)
+		ch, _ := list[1].Tracker.Choose([]roster.Endpoint{en}, placement.Demand{Engine: engine}, nil)
 		return ch.Load
 	}
-	g.Eventually(load, "5s").Should(Equal(placement.Load{Running: 1, Reading: 700, Held: 800}))
+	g.Eventually(load, "5s").Should(Equal(placement.Load{Running: 1, PrefillTokens: 700, ReservedTokens: 800}))
 	ti.End(placement.Done)
 	g.Eventually(load, "5s").Should(Equal(placement.Load{}))
 }
--- a/internal/loadshare/member.go
+++ b/internal/loadshare/member.go
@@ -12,8 +12,8 @@
 	Zone string
 	// Address is the peer address of the instance.
 	Address netip.AddrPort
-	// Link is the bandwidth of the instance, in Mbit/s.
-	Link int
+	// LinkMbps is the bandwidth of the instance, in Mbit/s.
+	LinkMbps int
 }
 
 // Members is the list of instances. The zero value is empty. It is safe for
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -50,7 +50,7 @@
 	for _, id := range sortedKeys(me.Loads) {
 		lo := me.Loads[id]
 		data = appendString(data, id)
-		for _, number := range []int{lo.Running, lo.Reading, lo.Held} {
+		for _, number := range []int{lo.Running, lo.PrefillTokens, lo.ReservedTokens} {
 			data = binary.AppendUvarint(data, uint64(max(number, 0)))
 		}
 	}
@@ -86,7 +86,7 @@
 	me.Loads = make(map[string]placement.Load)
 	for range re.listLength() {
 		id := re.stringValue()
-		me.Loads[id] = placement.Load{Running: re.count(), Reading: re.count(), Held: re.count()}
+		me.Loads[id] = placement.Load{Running: re.count(), PrefillTokens: re.count(), ReservedTokens: re.count()}
 	}
 	me.Moves = make(map[string]int)
 	for range re.listLength() {
--- a/internal/migration/doc.go
+++ b/internal/migration/doc.go
@@ -14,7 +14,7 @@
 //
 // # Usage
 //
-//	mo := &migration.Mover{Engines: engines, Roster: ro, Board: bo, Clock: clock, Log: log, Turns: turns}
+//	mo := &migration.Mover{Engines: engines, Roster: ro, Tracker: lt, Clock: clock, Log: log, MoveOrder: order}
 //	ro.OnLeave = mo.Leaving
 //	ru := &migration.Run{ID: id, Service: service, ...}
 //	ru.SetEndpoint(en)
--- a/internal/migration/evacuation.go
+++ b/internal/migration/evacuation.go
@@ -54,10 +54,10 @@
 		pause.For(ctx, mo.Clock, announceDelay)
 	}
 	begun := mo.Clock.Now()
-	ahead := mo.Turns.Ahead(ev.source.ID)
+	ahead := mo.MoveOrder.Ahead(ev.source.ID)
 	for ctx.Err() == nil && ahead > 0 && mo.Clock.Since(begun) < maxTurnWait(ahead) && mo.Clock.Since(ev.notice) < turnWaitEnd {
 		pause.For(ctx, mo.Clock, turnPollInterval)
-		ahead = mo.Turns.Ahead(ev.source.ID)
+		ahead = mo.MoveOrder.Ahead(ev.source.ID)
 	}
 	if waited := mo.Clock.Since(begun); waited >= longTurnWait {
 		mo.Log.Info().Str("event", "turn_waited").Str("endpoint", ev.source.ID).Int("ahead", ahead).Dur("took", waited).
--- a/internal/migration/move.go
+++ b/internal/migration/move.go
@@ -29,7 +29,7 @@
 			moved = true
 			mo.completeMove(ctx, ev, mv)
 		}
-		mo.Turns.Announce(ev.source.ID, ev.untried(list))
+		mo.MoveOrder.Announce(ev.source.ID, ev.untried(list))
 	}
 	return moved
 }
@@ -49,15 +49,15 @@
 // run continues. It returns nil if the run cannot be moved now. A target
 // without room is excluded from the rest of the evacuation.
 func (mo *Mover) startMove(ctx context.Context, ev *evacuation, ca candidate) *move {
-	wo := placement.Work{Engine: ca.run.Engine, Prompt: ca.tokens, Output: min(ca.run.Output, ca.remaining), Zone: ev.source.Zone}
+	dm := placement.Demand{Engine: ca.run.Engine, Prompt: ca.tokens, Output: min(ca.run.Output, ca.remaining), Zone: ev.source.Zone}
 	for ctx.Err() == nil {
-		ch, found := mo.Board.Choose(mo.Roster.View().Ready(ca.run.Service), wo, ev.full)
+		ch, found := mo.Tracker.Choose(mo.Roster.View().Ready(ca.run.Service), dm, ev.full)
 		target := ch.Endpoint
 		if !found {
 			mo.Log.Info().Str("event", "move_without_target").Str("request", ca.run.ID).Str("endpoint", ev.source.ID).Int("full", len(ev.full)).Msg("migration: no target engine available; run not moved")
 			return nil
 		}
-		mv := &move{run: ca.run, target: target, ticket: mo.Board.Begin(target, wo)}
+		mv := &move{run: ca.run, target: target, ticket: mo.Tracker.Begin(target, dm)}
 		mv.ticket.Started()
 		co, took, err := mo.copyRun(ctx, ev.source, mv, false)
 		if err == nil {
@@ -129,7 +129,7 @@
 		return
 	}
 	mv.ticket.End(placement.Done)
-	ti := mo.Board.Begin(en, placement.Work{})
+	ti := mo.Tracker.Begin(en, placement.Demand{})
 	if !mv.run.finishFinalCopy(&Moved{From: en, Handle: kept, Target: en, Ticket: ti}) {
 		ti.End(placement.Done)
 	}
--- a/internal/migration/mover.go
+++ b/internal/migration/mover.go
@@ -34,9 +34,9 @@
 	Free(ctx context.Context, source roster.Endpoint, handle string) error
 }
 
-// Turns coordinates the instances that move runs off the same engine, so that
-// they take turns. loadshare.Turns implements it.
-type Turns interface {
+// MoveOrder coordinates the instances that move runs off the same engine, so
+// that they take turns. loadshare.MoveOrder implements it.
+type MoveOrder interface {
 	// Announce tells other instances how many runs of this instance are still
 	// to be moved off an engine.
 	Announce(endpoint string, runs int)
@@ -69,11 +69,11 @@
 type Mover struct {
 	Engines Engines
 	Roster  *roster.Roster
-	Board   *placement.Board
+	Tracker *placement.LoadTracker
 	Clock   clockwork.Clock
 	Log     zerolog.Logger
-	// Turns must not be nil.
-	Turns Turns
+	// MoveOrder must not be nil.
+	MoveOrder MoveOrder
 
 	mu         sync.Mutex
 	runs       map[*Run]struct{}
@@ -147,10 +147,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), evacuationTimeout)
 	defer cancel()
 	ev := &evacuation{source: en, notice: notice, attempts: make(map[*Run]int), full: map[string]bool{en.ID: true}}
-	defer mo.Turns.Announce(en.ID, 0)
+	defer mo.MoveOrder.Announce(en.ID, 0)
 	for ctx.Err() == nil {
 		list := movable(mo.candidates(ev), mo.Clock.Since(notice))
-		mo.Turns.Announce(en.ID, ev.untried(list))
+		mo.MoveOrder.Announce(en.ID, ev.untried(list))
 		if len(list) > 0 && mo.moveAll(ctx, ev, list) {
 			continue
 		}
--- a/internal/migration/mover_test.go
+++ b/internal/migration/mover_test.go
@@ -56,7 +56,7 @@
 	return Copied{Handle: "h-" + target, Events: 1}, nil
 }
 
-// noOtherInstances is the Turns of a single instance.
+// noOtherInstances is the MoveOrder of a single instance.
 type noOtherInstances struct{}
 
 func (noOtherInstances) Announce(string, int) {}
@@ -78,7 +78,7 @@
 	ro.Reset(list)
 	fe := &fakeEngines{answer: answer}
 	return &harness{engines: fe, Mover: &Mover{
-		Engines: fe, Roster: ro, Board: &placement.Board{Clock: clock, Zone: "a"}, Clock: clock, Log: zerolog.Nop(), Turns: noOtherInstances{},
+		Engines: fe, Roster: ro, Tracker: &placement.LoadTracker{Clock: clock, Zone: "a"}, Clock: clock, Log: zerolog.Nop(), MoveOrder: noOtherInstances{},
 	}}
 }
 
@@ -150,7 +150,7 @@
 	ha.Roster.Apply([]feed.Change[roster.Endpoint]{{Object: feed.Object[roster.Endpoint]{Name: "far", Value: &far}}})
 	for _, id := range []string{"e2", "e3"} {
 		for range 6 {
-			ha.Board.Begin(ha.endpoint(id), placement.Work{Engine: testEngine, Prompt: 3500, Output: 400}).Started()
+			ha.Tracker.Begin(ha.endpoint(id), placement.Demand{Engine: testEngine, Prompt: 3500, Output: 400}).Started()
 		}
 	}
 	ru := ha.addRun("r1")
@@ -267,7 +267,7 @@
 	for _, call := range ha.engines.calls() {
 		g.Expect(call).To(HaveSuffix("final=false"))
 	}
-	g.Expect(ha.Board.Loads()).To(BeEmpty())
+	g.Expect(ha.Tracker.Loads()).To(BeEmpty())
 }
 
 // If the caller disconnects before its stream has taken up a completed move,
@@ -284,36 +284,36 @@
 }
 
 // fakeTurns reports a decreasing number of runs of other instances.
-type fakeTurns struct {
+type fakeMoveOrder struct {
 	mu        sync.Mutex
 	ahead     int
 	announced []int
 }
 
-func (tu *fakeTurns) Announce(_ string, runs int) {
-	tu.mu.Lock()
-	defer tu.mu.Unlock()
-	tu.announced = append(tu.announced, runs)
+func (fm *fakeMoveOrder) Announce(_ string, runs int) {
+	fm.mu.Lock()
+	defer fm.mu.Unlock()
+	fm.announced = append(fm.announced, runs)
 }
 
-func (tu *fakeTurns) Ahead(string) int {
-	tu.mu.Lock()
-	defer tu.mu.Unlock()
-	tu.ahead = max(tu.ahead-1, 0)
-	return tu.ahead
+func (fm *fakeMoveOrder) Ahead(string) int {
+	fm.mu.Lock()
+	defer fm.mu.Unlock()
+	fm.ahead = max(fm.ahead-1, 0)
+	return fm.ahead
 }
 
-func (tu *fakeTurns) announcements() []int {
-	tu.mu.Lock()
-	defer tu.mu.Unlock()
-	return append([]int(nil), tu.announced...)
+func (fm *fakeMoveOrder) announcements() []int {
+	fm.mu.Lock()
+	defer fm.mu.Unlock()
+	return append([]int(nil), fm.announced...)
 }
 
 func TestOthersComeFirst(t *testing.T) {
 	g := NewWithT(t)
 	ha := newHarness(copySucceeds)
-	tu := &fakeTurns{ahead: 4}
-	ha.Turns = tu
+	fm := &fakeMoveOrder{ahead: 4}
+	ha.MoveOrder = fm
 	ru := ha.addRun("r1")
 	begun := ha.Clock.Now()
 	ha.Roster.Leave("e1")
@@ -322,9 +322,9 @@
 	g.Expect(moved).To(BeTrue())
 	g.Expect(ha.Clock.Since(begun)).To(BeNumerically(">=", announceDelay+3*turnPollInterval))
 	ha.Remove(ru)
-	g.Eventually(func() bool { return len(tu.announcements()) > 1 }, "5s").Should(BeTrue())
-	g.Expect(tu.announcements()[0]).To(Equal(1), "the run is announced")
-	g.Expect(tu.announcements()[1:]).To(HaveEach(0), "the run is no longer announced after its move")
+	g.Eventually(func() bool { return len(fm.announcements()) > 1 }, "5s").Should(BeTrue())
+	g.Expect(fm.announcements()[0]).To(Equal(1), "the run is announced")
+	g.Expect(fm.announcements()[1:]).To(HaveEach(0), "the run is no longer announced after its move")
 }
 
 func TestTurnsAreBounded(t *testing.T) {
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,7 +1,7 @@
 // Package placement chooses the endpoint for a request by the estimated load
 // and the recent failures of each endpoint.
 //
-// It holds in-memory state only and does no network I/O. A Board keeps an
+// It holds in-memory state only and does no network I/O. A LoadTracker keeps an
 // account for each endpoint: prompt tokens still to be prefilled, generations
 // in flight, the KV-cache memory that they reserve, and recent failures.
 // Several instances send to the same engines, so they exchange their loads
@@ -13,10 +13,10 @@
 //
 // # Usage
 //
-//	bo := &placement.Board{Clock: clock, Zone: "zilina-a", Instance: "edge-1"}
-//	work := placement.Work{Prompt: 3000, Output: 900, Engine: engine}
-//	ch, found := bo.Choose(view.Ready("filbert-pool"), work, nil)
-//	ti := bo.Begin(ch.Endpoint, work)
+//	lt := &placement.LoadTracker{Clock: clock, Zone: "zilina-a", Instance: "edge-1"}
+//	demand := placement.Demand{Prompt: 3000, Output: 900, Engine: engine}
+//	ch, found := lt.Choose(view.Ready("filbert-pool"), demand, nil)
+//	ti := lt.Begin(ch.Endpoint, demand)
 //	ti.Started()      // the first event arrived: the prompt is prefilled
 //	ti.End(placement.Done)
 package placement
--- a/internal/placement/board.go
+++ b/internal/placement/load_tracker.go
@@ -12,8 +12,8 @@
 	"filbertstall.example/filbertstall/internal/routing"
 )
 
-// Work is the resource demand of one request.
-type Work struct {
+// Demand is the resource demand of one request.
+type Demand struct {
 	// Engine describes the inference engines of the service. It is nil for
 	// requests to plain services.
 	Engine *routing.Engine
@@ -31,9 +31,9 @@
 	Zone string
 }
 
-// Board tracks the load of endpoints and chooses among them. Set the exported
-// fields before use. It is safe for concurrent use.
-type Board struct {
+// LoadTracker tracks the load of endpoints and chooses among them. Set the
+// exported fields before use. It is safe for concurrent use.
+type LoadTracker struct {
 	Clock clockwork.Clock
 	// Zone is the availability zone of this instance.
 	Zone string
@@ -58,11 +58,11 @@
 type Load struct {
 	// Running is the number of generations in flight.
 	Running int
-	// Reading is the number of prompt tokens still to be prefilled.
-	Reading int
-	// Held is the KV-cache memory, in tokens, that generations and standby copies
-	// occupy or are expected to occupy.
-	Held int
+	// PrefillTokens is the number of prompt tokens still to be prefilled.
+	PrefillTokens int
+	// ReservedTokens is the KV-cache memory, in tokens, that generations and
+	// standby copies occupy or are expected to occupy.
+	ReservedTokens int
 }
 
 // The cost of an endpoint is the expected delay of a request there, in
@@ -108,23 +108,23 @@
 
 // Choose returns the endpoint of lowest cost, leaving out those whose ID is in
 // exclude. It returns false if no endpoint is usable now.
-func (bo *Board) Choose(list []roster.Endpoint, wo Work, exclude map[string]bool) (Choice, bool) {
-	now := bo.Clock.Now()
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
+func (lt *LoadTracker) Choose(list []roster.Endpoint, dm Demand, exclude map[string]bool) (Choice, bool) {
+	now := lt.Clock.Now()
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
 	best, lowest := -1, math.Inf(1)
 	for ix, en := range list {
 		if exclude[en.ID] {
 			continue
 		}
-		if cost, usable := bo.cost(en, wo, now); usable && cost < lowest {
+		if cost, usable := lt.cost(en, dm, now); usable && cost < lowest {
 			best, lowest = ix, cost
 		}
 	}
 	if best < 0 {
 		return Choice{}, false
 	}
-	return Choice{Endpoint: list[best], Cost: lowest, Load: bo.load(list[best].ID)}, true
+	return Choice{Endpoint: list[best], Cost: lowest, Load: lt.load(list[best].ID)}, true
 }
 
 // Choice is the chosen endpoint and the inputs of the decision, for logs.
@@ -140,12 +140,12 @@
 
 // load returns the load of an endpoint over all instances. The caller must hold
 // mu.
-func (bo *Board) load(id string) Load {
-	lo := bo.remoteTotals[id]
-	if ac := bo.accounts[id]; ac != nil {
+func (lt *LoadTracker) load(id string) Load {
+	lo := lt.remoteTotals[id]
+	if ac := lt.accounts[id]; ac != nil {
 		lo.Running += ac.inFlight
-		lo.Reading += ac.prefillTokens
-		lo.Held += ac.reservedTokens
+		lo.PrefillTokens += ac.prefillTokens
+		lo.ReservedTokens += ac.reservedTokens
 	}
 	return lo
 }
@@ -154,56 +154,56 @@
 // It returns false if the endpoint is not usable now: it is in back-off after a
 // failed connection attempt, or it is in cold start and its rate limit is
 // reached. The caller must hold mu.
-func (bo *Board) cost(en roster.Endpoint, wo Work, now time.Time) (float64, bool) {
-	ac := bo.accounts[en.ID]
+func (lt *LoadTracker) cost(en roster.Endpoint, dm Demand, now time.Time) (float64, bool) {
+	ac := lt.accounts[en.ID]
 	if ac == nil {
 		ac = &account{}
 	}
 	if now.Before(ac.backoffUntil) {
 		return 0, false
 	}
-	cost := tieBreakCost*tieBreak(bo.Instance, en.ID) + failureCost*ac.failureScore(now)
+	cost := tieBreakCost*tieBreak(lt.Instance, en.ID) + failureCost*ac.failureScore(now)
 	if now.Before(en.ColdUntil) {
-		if wo.ColdRate > 0 && float64(ac.arrivalsInLastSecond(now)) >= wo.ColdRate {
+		if dm.ColdRate > 0 && float64(ac.arrivalsInLastSecond(now)) >= dm.ColdRate {
 			return 0, false
 		}
 		cost += coldCost
 	}
-	homeZone := bo.Zone
-	if wo.Zone != "" {
-		homeZone = wo.Zone
+	homeZone := lt.Zone
+	if dm.Zone != "" {
+		homeZone = dm.Zone
 	}
 	if en.Zone != homeZone {
-		cost += wo.remoteZoneCost()
+		cost += dm.remoteZoneCost()
 	}
-	cost += zonePathCost * bo.zonePaths[en.Zone].failureScore(now)
-	lo := bo.load(en.ID)
-	if wo.Engine == nil {
+	cost += zonePathCost * lt.zonePaths[en.Zone].failureScore(now)
+	lo := lt.load(en.ID)
+	if dm.Engine == nil {
 		return cost + callCost*float64(lo.Running)/float64(max(en.Slots, 1)), true
 	}
-	return cost + engineCost(lo, wo), true
+	return cost + engineCost(lo, dm), true
 }
 
 // remoteZoneCost returns the cost of an endpoint in another zone.
-func (wo Work) remoteZoneCost() float64 {
+func (dm Demand) remoteZoneCost() float64 {
 	switch {
-	case wo.Zone != "":
+	case dm.Zone != "":
 		return copyZoneCost
-	case wo.Engine != nil:
-		return engineZoneCost + outputZoneCost*float64(wo.Output)
+	case dm.Engine != nil:
+		return engineZoneCost + outputZoneCost*float64(dm.Output)
 	default:
 		return zoneCost
 	}
 }
 
 // engineCost returns the cost of a new generation at an engine with load lo.
-func engineCost(lo Load, wo Work) float64 {
-	cost := float64(lo.Reading)/prefillTokensPerMillisecond + generationCost*float64(lo.Running)
-	memory := plannableMemoryShare * float64(wo.Engine.MemoryTokens)
-	if excess := float64(lo.Held+wo.Prompt+wo.Output) - memory; excess > 0 {
+func engineCost(lo Load, dm Demand) float64 {
+	cost := float64(lo.PrefillTokens)/prefillTokensPerMillisecond + generationCost*float64(lo.Running)
+	memory := plannableMemoryShare * float64(dm.Engine.MemoryTokens)
+	if excess := float64(lo.ReservedTokens+dm.Prompt+dm.Output) - memory; excess > 0 {
 		cost += exhaustedCost * (1 + excess/memory)
 	}
-	if lo.Running >= wo.Engine.Slots {
+	if lo.Running >= dm.Engine.Slots {
 		cost += exhaustedCost
 	}
 	return cost
@@ -222,13 +222,13 @@
 }
 
 // Loads returns the load that this instance places on engines, by endpoint.
-func (bo *Board) Loads() map[string]Load {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	loads := make(map[string]Load, len(bo.accounts))
-	for id, ac := range bo.accounts {
+func (lt *LoadTracker) Loads() map[string]Load {
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
+	loads := make(map[string]Load, len(lt.accounts))
+	for id, ac := range lt.accounts {
 		if ac.generations > 0 || ac.reservedTokens > 0 {
-			loads[id] = Load{Running: ac.generations, Reading: ac.prefillTokens, Held: ac.reservedTokens}
+			loads[id] = Load{Running: ac.generations, PrefillTokens: ac.prefillTokens, ReservedTokens: ac.reservedTokens}
 		}
 	}
 	return loads
@@ -236,73 +236,73 @@
 
 // SetRemoteLoads replaces the loads that another instance reported. Nil loads
 // remove the instance.
-func (bo *Board) SetRemoteLoads(instance string, loads map[string]Load) {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	if bo.remoteLoads == nil {
-		bo.remoteLoads, bo.remoteTotals = make(map[string]map[string]Load), make(map[string]Load)
+func (lt *LoadTracker) SetRemoteLoads(instance string, loads map[string]Load) {
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
+	if lt.remoteLoads == nil {
+		lt.remoteLoads, lt.remoteTotals = make(map[string]map[string]Load), make(map[string]Load)
 	}
-	for id, lo := range bo.remoteLoads[instance] {
-		bo.addRemoteLoad(id, Load{-lo.Running, -lo.Reading, -lo.Held})
+	for id, lo := range lt.remoteLoads[instance] {
+		lt.addRemoteLoad(id, Load{-lo.Running, -lo.PrefillTokens, -lo.ReservedTokens})
 	}
 	for id, lo := range loads {
-		bo.addRemoteLoad(id, lo)
+		lt.addRemoteLoad(id, lo)
 	}
-	bo.remoteLoads[instance] = loads
+	lt.remoteLoads[instance] = loads
 	if len(loads) == 0 {
-		delete(bo.remoteLoads, instance)
+		delete(lt.remoteLoads, instance)
 	}
 }
 
-func (bo *Board) addRemoteLoad(id string, lo Load) {
-	sum := bo.remoteTotals[id]
+func (lt *LoadTracker) addRemoteLoad(id string, lo Load) {
+	sum := lt.remoteTotals[id]
 	sum.Running += lo.Running
-	sum.Reading += lo.Reading
-	sum.Held += lo.Held
-	bo.remoteTotals[id] = sum
+	sum.PrefillTokens += lo.PrefillTokens
+	sum.ReservedTokens += lo.ReservedTokens
+	lt.remoteTotals[id] = sum
 	if sum == (Load{}) {
-		delete(bo.remoteTotals, id)
+		delete(lt.remoteTotals, id)
 	}
 }
 
 // notifyChange signals on Changes that the load of an engine changed.
-func (bo *Board) notifyChange() {
+func (lt *LoadTracker) notifyChange() {
 	select {
-	case bo.Changes <- struct{}{}:
+	case lt.Changes <- struct{}{}:
 	default:
 	}
 }
 
 // Forget removes the accounts of endpoints for which known returns false,
 // unless requests or standby copies are still accounted to them.
-func (bo *Board) Forget(known func(id string) bool) {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	for id, ac := range bo.accounts {
+func (lt *LoadTracker) Forget(known func(id string) bool) {
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
+	for id, ac := range lt.accounts {
 		if ac.inFlight == 0 && ac.reservedTokens == 0 && !known(id) {
-			delete(bo.accounts, id)
+			delete(lt.accounts, id)
 		}
 	}
 }
 
 // RecordOutcome updates the failure score and the back-off of an endpoint for an
 // attempt that has no ticket.
-func (bo *Board) RecordOutcome(id string, ou Outcome) {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	bo.account(id).recordOutcome(ou, bo.Clock.Now())
+func (lt *LoadTracker) RecordOutcome(id string, ou Outcome) {
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
+	lt.account(id).recordOutcome(ou, lt.Clock.Now())
 }
 
 // account returns the account of an endpoint and creates it if necessary. The
 // caller must hold mu.
-func (bo *Board) account(id string) *account {
-	if bo.accounts == nil {
-		bo.accounts = make(map[string]*account)
+func (lt *LoadTracker) account(id string) *account {
+	if lt.accounts == nil {
+		lt.accounts = make(map[string]*account)
 	}
-	ac := bo.accounts[id]
+	ac := lt.accounts[id]
 	if ac == nil {
 		ac = &account{}
-		bo.accounts[id] = ac
+		lt.accounts[id] = ac
 	}
 	return ac
 }
--- a/internal/placement/board_test.go
+++ b/internal/placement/load_tracker_test.go
@@ -14,8 +14,8 @@
 
 var testEngine = &routing.Engine{Slots: 24, MemoryTokens: 34_000, TokensPerEvent: 4}
 
-func newBoard(clock clockwork.Clock) *Board {
-	return &Board{Clock: clock, Zone: "a", Instance: "i1", Changes: make(chan struct{}, 1)}
+func newTracker(clock clockwork.Clock) *LoadTracker {
+	return &LoadTracker{Clock: clock, Zone: "a", Instance: "i1", Changes: make(chan struct{}, 1)}
 }
 
 func endpoints(zones ...string) []roster.Endpoint {
@@ -30,13 +30,13 @@
 // engine gets a second one while another has nothing to prefill.
 func TestLongPromptsDoNotPileUp(t *testing.T) {
 	g := NewWithT(t)
-	bo := newBoard(clockwork.NewFakeClock())
+	lt := newTracker(clockwork.NewFakeClock())
 	list := endpoints("a", "a", "a", "a")
 	counts := make(map[string]int)
 	for range 8 {
-		ch, found := bo.Choose(list, Work{Engine: testEngine, Prompt: 5000, Output: 400}, nil)
+		ch, found := lt.Choose(list, Demand{Engine: testEngine, Prompt: 5000, Output: 400}, nil)
 		g.Expect(found).To(BeTrue())
-		bo.Begin(ch.Endpoint, Work{Engine: testEngine, Prompt: 5000, Output: 400})
+		lt.Begin(ch.Endpoint, Demand{Engine: testEngine, Prompt: 5000, Output: 400})
 		counts[ch.Endpoint.ID]++
 	}
 	for _, en := range list {
@@ -49,12 +49,12 @@
 // are all prefilled and the other is in another zone.
 func TestFullMemoryGoesLast(t *testing.T) {
 	g := NewWithT(t)
-	bo := newBoard(clockwork.NewFakeClock())
+	lt := newTracker(clockwork.NewFakeClock())
 	list := endpoints("a", "b")
 	for range 8 {
-		bo.Begin(list[0], Work{Engine: testEngine, Prompt: 3600, Output: 400}).Started()
+		lt.Begin(list[0], Demand{Engine: testEngine, Prompt: 3600, Output: 400}).Started()
 	}
-	ch, _ := bo.Choose(list, Work{Engine: testEngine, Prompt: 3000, Output: 400}, nil)
+	ch, _ := lt.Choose(list, Demand{Engine: testEngine, Prompt: 3000, Output: 400}, nil)
 	g.Expect(ch.Endpoint.ID).To(Equal("e1"))
 }
 
@@ -62,17 +62,17 @@
 // count like those of the instance itself until the next report replaces them.
 func TestLoadsOfOthersCount(t *testing.T) {
 	g := NewWithT(t)
-	bo := newBoard(clockwork.NewFakeClock())
+	lt := newTracker(clockwork.NewFakeClock())
 	list := endpoints("a", "a")
-	work := Work{Engine: testEngine, Prompt: 2000, Output: 100}
-	bo.SetRemoteLoads("i2", map[string]Load{"e0": {Running: 2, Reading: 9000, Held: 9000}})
-	ch, _ := bo.Choose(list, work, nil)
+	demand := Demand{Engine: testEngine, Prompt: 2000, Output: 100}
+	lt.SetRemoteLoads("i2", map[string]Load{"e0": {Running: 2, PrefillTokens: 9000, ReservedTokens: 9000}})
+	ch, _ := lt.Choose(list, demand, nil)
 	g.Expect(ch.Endpoint.ID).To(Equal("e1"))
-	bo.SetRemoteLoads("i2", map[string]Load{"e1": {Running: 2, Reading: 9000, Held: 9000}})
-	ch, _ = bo.Choose(list, work, nil)
+	lt.SetRemoteLoads("i2", map[string]Load{"e1": {Running: 2, PrefillTokens: 9000, ReservedTokens: 9000}})
+	ch, _ = lt.Choose(list, demand, nil)
 	g.Expect(ch.Endpoint.ID).To(Equal("e0"))
-	bo.SetRemoteLoads("i2", nil)
-	g.Expect(bo.remoteTotals).To(BeEmpty())
+	lt.SetRemoteLoads("i2", nil)
+	g.Expect(lt.remoteTotals).To(BeEmpty())
 }
 
 // A network partition interrupts streams from another zone. Long streams are
@@ -80,12 +80,12 @@
 // start sooner.
 func TestLongStreamsStayInTheZone(t *testing.T) {
 	g := NewWithT(t)
-	bo := newBoard(clockwork.NewFakeClock())
+	lt := newTracker(clockwork.NewFakeClock())
 	list := endpoints("a", "b")
-	bo.Begin(list[0], Work{Engine: testEngine, Prompt: 1000, Output: 400})
-	long, _ := bo.Choose(list, Work{Engine: testEngine, Prompt: 3000, Output: 400}, nil)
+	lt.Begin(list[0], Demand{Engine: testEngine, Prompt: 1000, Output: 400})
+	long, _ := lt.Choose(list, Demand{Engine: testEngine, Prompt: 3000, Output: 400}, nil)
 	g.Expect(long.Endpoint.Zone).To(Equal("a"))
-	short, _ := bo.Choose(list, Work{Engine: testEngine, Prompt: 2000, Output: 8}, nil)
+	short, _ := lt.Choose(list, Demand{Engine: testEngine, Prompt: 2000, Output: 8}, nil)
 	g.Expect(short.Endpoint.Zone).To(Equal("b"))
 }
 
@@ -94,16 +94,16 @@
 func TestFailuresCostAndFade(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
-	bo := newBoard(clock)
+	lt := newTracker(clock)
 	list := endpoints("a", "a")
-	bo.Begin(list[0], Work{}).End(Lost)
-	ch, _ := bo.Choose(list, Work{}, nil)
+	lt.Begin(list[0], Demand{}).End(Lost)
+	ch, _ := lt.Choose(list, Demand{}, nil)
 	g.Expect(ch.Endpoint.ID).To(Equal("e1"))
-	bo.Begin(list[1], Work{})
-	bo.Begin(list[1], Work{})
-	bo.Begin(list[1], Work{})
+	lt.Begin(list[1], Demand{})
+	lt.Begin(list[1], Demand{})
+	lt.Begin(list[1], Demand{})
 	clock.Advance(12 * time.Second)
-	ch, _ = bo.Choose(list, Work{}, nil)
+	ch, _ = lt.Choose(list, Demand{}, nil)
 	g.Expect(ch.Endpoint.ID).To(Equal("e0"), "a decayed failure must cost less than three running requests")
 }
 
@@ -112,15 +112,15 @@
 func TestUnreachableEndpointsAreShunned(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
-	bo := newBoard(clock)
+	lt := newTracker(clock)
 	list := endpoints("a")
 	for _, backoff := range []time.Duration{initialBackoff, 2 * initialBackoff, maxBackoff, maxBackoff} {
-		bo.Begin(list[0], Work{}).End(Unreachable)
+		lt.Begin(list[0], Demand{}).End(Unreachable)
 		clock.Advance(backoff - time.Millisecond)
-		_, found := bo.Choose(list, Work{}, nil)
+		_, found := lt.Choose(list, Demand{}, nil)
 		g.Expect(found).To(BeFalse())
 		clock.Advance(time.Millisecond)
-		_, found = bo.Choose(list, Work{}, nil)
+		_, found = lt.Choose(list, Demand{}, nil)
 		g.Expect(found).To(BeTrue())
 	}
 }
@@ -130,13 +130,13 @@
 func TestColdEndpointsGetTheirShare(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
-	bo := newBoard(clock)
+	lt := newTracker(clock)
 	list := endpoints("a")
 	list[0].ColdUntil = clock.Now().Add(time.Hour)
 	var begun []time.Time
 	for range 2000 {
-		if _, found := bo.Choose(list, Work{ColdRate: 3}, nil); found {
-			bo.Begin(list[0], Work{}).End(Done)
+		if _, found := lt.Choose(list, Demand{ColdRate: 3}, nil); found {
+			lt.Begin(list[0], Demand{}).End(Done)
 			begun = append(begun, clock.Now())
 		}
 		clock.Advance(7 * time.Millisecond)
@@ -149,15 +149,15 @@
 
 func TestTicketsEndOnce(t *testing.T) {
 	g := NewWithT(t)
-	bo := newBoard(clockwork.NewFakeClock())
+	lt := newTracker(clockwork.NewFakeClock())
 	list := endpoints("a")
-	ti := bo.Begin(list[0], Work{Engine: testEngine, Prompt: 100, Output: 10})
+	ti := lt.Begin(list[0], Demand{Engine: testEngine, Prompt: 100, Output: 10})
 	ti.Started()
 	ti.End(Done)
 	ti.End(Lost)
 	ti.Started()
-	g.Expect(bo.load("e0")).To(Equal(Load{}))
-	g.Expect(bo.Loads()).To(BeEmpty())
-	bo.Forget(func(string) bool { return false })
-	g.Expect(bo.accounts).To(BeEmpty())
+	g.Expect(lt.load("e0")).To(Equal(Load{}))
+	g.Expect(lt.Loads()).To(BeEmpty())
+	lt.Forget(func(string) bool { return false })
+	g.Expect(lt.accounts).To(BeEmpty())
 }
--- a/internal/placement/standby.go
+++ b/internal/placement/standby.go
@@ -29,25 +29,25 @@
 // memory, or if the engines are too full on average. Engines in the instance's
 // own zone are preferred, so that the copy stays reachable when the zone of the
 // primary is partitioned.
-func (bo *Board) ChooseStandby(list []roster.Endpoint, wo Work, primary string) (roster.Endpoint, bool) {
-	now := bo.Clock.Now()
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	if bo.fill(list, wo) > maxMeanFill {
+func (lt *LoadTracker) ChooseStandby(list []roster.Endpoint, dm Demand, primary string) (roster.Endpoint, bool) {
+	now := lt.Clock.Now()
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
+	if lt.fill(list, dm) > maxMeanFill {
 		return roster.Endpoint{}, false
 	}
 	best, lowest := -1, math.Inf(1)
 	for ix, en := range list {
-		ac := bo.accounts[en.ID]
+		ac := lt.accounts[en.ID]
 		if en.ID == primary || now.Before(en.ColdUntil) || ac != nil && now.Before(ac.backoffUntil) {
 			continue
 		}
-		fill := float64(bo.load(en.ID).Held+wo.Prompt+wo.Output) / float64(wo.Engine.MemoryTokens)
+		fill := float64(lt.load(en.ID).ReservedTokens+dm.Prompt+dm.Output) / float64(dm.Engine.MemoryTokens)
 		if fill > maxStandbyFill {
 			continue
 		}
-		cost := fillCost*fill + tieBreakCost*tieBreak(bo.Instance, en.ID)
-		if en.Zone != bo.Zone {
+		cost := fillCost*fill + tieBreakCost*tieBreak(lt.Instance, en.ID)
+		if en.Zone != lt.Zone {
 			cost += standbyZoneCost
 		}
 		if cost < lowest {
@@ -62,21 +62,21 @@
 
 // fill returns the mean share of reserved memory over the engines. The caller
 // must hold mu.
-func (bo *Board) fill(list []roster.Endpoint, wo Work) float64 {
+func (lt *LoadTracker) fill(list []roster.Endpoint, dm Demand) float64 {
 	held := 0
 	for _, en := range list {
-		held += bo.load(en.ID).Held
+		held += lt.load(en.ID).ReservedTokens
 	}
-	return float64(held) / float64(max(len(list), 1)*wo.Engine.MemoryTokens)
+	return float64(held) / float64(max(len(list), 1)*dm.Engine.MemoryTokens)
 }
 
 // Reserve accounts for the memory of a standby copy at an engine until the
 // ticket ends. The ticket does not count as an in-flight request.
-func (bo *Board) Reserve(en roster.Endpoint, wo Work) *Ticket {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	ti := &Ticket{board: bo, id: en.ID, engine: true, memoryOnly: true, reservedTokens: wo.Prompt + wo.Output}
-	bo.account(en.ID).reservedTokens += ti.reservedTokens
-	bo.notifyChange()
+func (lt *LoadTracker) Reserve(en roster.Endpoint, dm Demand) *Ticket {
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
+	ti := &Ticket{tracker: lt, id: en.ID, engine: true, memoryOnly: true, reservedTokens: dm.Prompt + dm.Output}
+	lt.account(en.ID).reservedTokens += ti.reservedTokens
+	lt.notifyChange()
 	return ti
 }
--- a/internal/placement/standby_test.go
+++ b/internal/placement/standby_test.go
@@ -10,7 +10,7 @@
 	"filbertstall.example/filbertstall/internal/roster"
 )
 
-var standbyWork = Work{Engine: testEngine, Prompt: 3000, Output: 400}
+var standbyDemand = Demand{Engine: testEngine, Prompt: 3000, Output: 400}
 
 // Standby copies protect generations against engine crashes and network
 // partitions. They are placed on the engine with the most free memory, first
@@ -34,17 +34,17 @@
 		t.Run(ca.name, func(t *testing.T) {
 			g := NewWithT(t)
 			clock := clockwork.NewFakeClock()
-			bo := newBoard(clock)
+			lt := newTracker(clock)
 			list := endpoints("a", "a", "a", "b")
 			for ix, en := range list {
 				if held := ca.held[en.ID]; held > 0 {
-					bo.Begin(en, Work{Engine: testEngine, Prompt: held})
+					lt.Begin(en, Demand{Engine: testEngine, Prompt: held})
 				}
 				if en.ID == ca.cold {
 					list[ix].ColdUntil = clock.Now().Add(time.Second)
 				}
 			}
-			en, found := bo.ChooseStandby(list, standbyWork, ca.primary)
+			en, found := lt.ChooseStandby(list, standbyDemand, ca.primary)
 			g.Expect(found).To(Equal(ca.want != ""))
 			if found {
 				g.Expect(ca.want).To(ContainSubstring(en.ID))
@@ -57,15 +57,15 @@
 // instances until its ticket ends, and counts as no running generation.
 func TestReservedMemory(t *testing.T) {
 	g := NewWithT(t)
-	bo := newBoard(clockwork.NewFakeClock())
+	lt := newTracker(clockwork.NewFakeClock())
 	en := roster.Endpoint{ID: "e0", Zone: "a"}
-	ti := bo.Reserve(en, standbyWork)
-	g.Expect(bo.Loads()).To(Equal(map[string]Load{"e0": {Held: 3400}}))
-	bo.Forget(func(string) bool { return false })
-	g.Expect(bo.Loads()).To(HaveLen(1), "an account with reserved memory must not be removed")
+	ti := lt.Reserve(en, standbyDemand)
+	g.Expect(lt.Loads()).To(Equal(map[string]Load{"e0": {ReservedTokens: 3400}}))
+	lt.Forget(func(string) bool { return false })
+	g.Expect(lt.Loads()).To(HaveLen(1), "an account with reserved memory must not be removed")
 	ti.End(Done)
 	ti.End(Done)
-	g.Expect(bo.Loads()).To(BeEmpty())
-	bo.Forget(func(string) bool { return false })
-	g.Expect(bo.accounts).To(BeEmpty())
+	g.Expect(lt.Loads()).To(BeEmpty())
+	lt.Forget(func(string) bool { return false })
+	g.Expect(lt.accounts).To(BeEmpty())
 }
--- a/internal/placement/ticket.go
+++ b/internal/placement/ticket.go
@@ -5,7 +5,7 @@
 // Ticket accounts for one in-flight request, or one standby copy, at an
 // endpoint. It is safe for concurrent use.
 type Ticket struct {
-	board          *Board
+	tracker        *LoadTracker
 	id             string
 	zone           string
 	prefillTokens  int
@@ -19,18 +19,18 @@
 }
 
 // Begin accounts for a request that is about to be sent to an endpoint.
-func (bo *Board) Begin(en roster.Endpoint, wo Work) *Ticket {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	ti := &Ticket{board: bo, id: en.ID, zone: en.Zone}
-	ac := bo.account(en.ID)
+func (lt *LoadTracker) Begin(en roster.Endpoint, dm Demand) *Ticket {
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
+	ti := &Ticket{tracker: lt, id: en.ID, zone: en.Zone}
+	ac := lt.account(en.ID)
 	ac.inFlight++
-	ac.arrivals = append(ac.arrivals, bo.Clock.Now())
-	ac.arrivalsInLastSecond(bo.Clock.Now())
-	if wo.Engine != nil {
-		ti.engine, ti.prefillTokens, ti.reservedTokens = true, wo.Prompt, wo.Prompt+wo.Output
+	ac.arrivals = append(ac.arrivals, lt.Clock.Now())
+	ac.arrivalsInLastSecond(lt.Clock.Now())
+	if dm.Engine != nil {
+		ti.engine, ti.prefillTokens, ti.reservedTokens = true, dm.Prompt, dm.Prompt+dm.Output
 		ac.generations++
-		defer bo.notifyChange()
+		defer lt.notifyChange()
 	}
 	ac.prefillTokens += ti.prefillTokens
 	ac.reservedTokens += ti.reservedTokens
@@ -40,29 +40,29 @@
 // Started records that the prompt is prefilled. Further calls, and calls after
 // End, do not change the account.
 func (ti *Ticket) Started() {
-	ti.board.mu.Lock()
-	defer ti.board.mu.Unlock()
+	ti.tracker.mu.Lock()
+	defer ti.tracker.mu.Unlock()
 	if !ti.ended {
-		ti.board.account(ti.id).prefillTokens -= ti.prefillTokens
+		ti.tracker.account(ti.id).prefillTokens -= ti.prefillTokens
 		ti.prefillTokens = 0
-		ti.board.notifyChange()
+		ti.tracker.notifyChange()
 	}
 }
 
 // End removes the request from the account and records its outcome. Further
 // calls have no effect.
 func (ti *Ticket) End(ou Outcome) {
-	ti.board.mu.Lock()
-	defer ti.board.mu.Unlock()
+	ti.tracker.mu.Lock()
+	defer ti.tracker.mu.Unlock()
 	if ti.ended {
 		return
 	}
 	ti.ended = true
-	ac := ti.board.account(ti.id)
+	ac := ti.tracker.account(ti.id)
 	ac.prefillTokens -= ti.prefillTokens
 	ac.reservedTokens -= ti.reservedTokens
 	if ti.engine {
-		defer ti.board.notifyChange()
+		defer ti.tracker.notifyChange()
 	}
 	if ti.memoryOnly {
 		return
@@ -71,6 +71,6 @@
 	if ti.engine {
 		ac.generations--
 	}
-	ac.recordOutcome(ou, ti.board.Clock.Now())
-	ti.board.recordZoneOutcome(ti.zone, ou)
+	ac.recordOutcome(ou, ti.tracker.Clock.Now())
+	ti.tracker.recordZoneOutcome(ti.zone, ou)
 }
--- a/internal/placement/zonepath.go
+++ b/internal/placement/zonepath.go
@@ -48,17 +48,17 @@
 
 // recordZoneOutcome updates the path to a zone after an attempt there. Attempts
 // within the instance's own zone are ignored. The caller must hold mu.
-func (bo *Board) recordZoneOutcome(zone string, ou Outcome) {
-	if zone == bo.Zone {
+func (lt *LoadTracker) recordZoneOutcome(zone string, ou Outcome) {
+	if zone == lt.Zone {
 		return
 	}
-	if bo.zonePaths == nil {
-		bo.zonePaths = make(map[string]*zonePath)
+	if lt.zonePaths == nil {
+		lt.zonePaths = make(map[string]*zonePath)
 	}
-	zp := bo.zonePaths[zone]
+	zp := lt.zonePaths[zone]
 	if zp == nil {
 		zp = &zonePath{}
-		bo.zonePaths[zone] = zp
+		lt.zonePaths[zone] = zp
 	}
-	zp.recordOutcome(ou, bo.Clock.Now())
+	zp.recordOutcome(ou, lt.Clock.Now())
 }
--- a/internal/placement/zonepath_test.go
+++ b/internal/placement/zonepath_test.go
@@ -16,29 +16,29 @@
 func TestZonesBehindACut(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
-	bo := newBoard(clock)
+	lt := newTracker(clock)
 	list := endpoints("a", "b", "b", "b", "b", "c")
-	work := Work{Engine: testEngine, Prompt: 3000, Output: 400}
+	demand := Demand{Engine: testEngine, Prompt: 3000, Output: 400}
 	for range 2 {
-		bo.Begin(list[0], work) // the instance's zone is busy
+		lt.Begin(list[0], demand) // the instance's zone is busy
 	}
 	choose := func() string {
-		ch, found := bo.Choose(list, work, nil)
+		ch, found := lt.Choose(list, demand, nil)
 		g.Expect(found).To(BeTrue())
 		return ch.Endpoint.Zone
 	}
 	g.Expect(choose()).To(BeElementOf("b", "c"))
-	bo.Begin(list[1], work).End(Unreachable)
-	bo.Begin(list[2], work).End(Unreachable)
+	lt.Begin(list[1], demand).End(Unreachable)
+	lt.Begin(list[2], demand).End(Unreachable)
 	g.Expect(choose()).To(Equal("c"), "only the path to zone b has failed")
-	bo.Begin(list[5], work).End(Unreachable)
+	lt.Begin(list[5], demand).End(Unreachable)
 	g.Expect(choose()).To(Equal("a"))
 	clock.Advance(10 * time.Second)
 	g.Expect(choose()).To(BeElementOf("b", "c"), "the failures have decayed")
-	bo.Begin(list[1], work).End(Unreachable)
-	bo.Begin(list[5], work).End(Unreachable)
+	lt.Begin(list[1], demand).End(Unreachable)
+	lt.Begin(list[5], demand).End(Unreachable)
 	g.Expect(choose()).To(Equal("a"))
-	bo.Begin(list[3], work).End(Done)
+	lt.Begin(list[3], demand).End(Done)
 	g.Expect(choose()).To(Equal("b"), "a response shows that the path to zone b works")
 }
 
@@ -46,10 +46,10 @@
 // endpoint only, not against the zone.
 func TestHomeHasNoBorder(t *testing.T) {
 	g := NewWithT(t)
-	bo := newBoard(clockwork.NewFakeClock())
+	lt := newTracker(clockwork.NewFakeClock())
 	list := endpoints("a", "a", "b")
-	work := Work{Engine: testEngine, Prompt: 3000, Output: 400}
-	bo.Begin(list[0], work).End(Unreachable)
-	ch, _ := bo.Choose(list, work, nil)
+	demand := Demand{Engine: testEngine, Prompt: 3000, Output: 400}
+	lt.Begin(list[0], demand).End(Unreachable)
+	ch, _ := lt.Choose(list, demand, nil)
 	g.Expect(ch.Endpoint.ID).To(Equal("e1"))
 }
--- a/internal/relay/reader.go
+++ b/internal/relay/reader.go
@@ -24,7 +24,7 @@
 		return loadshare.Member{}, false
 	}
 	return slices.MinFunc(eligible, func(a, b loadshare.Member) int {
-		if order := cmp.Compare(b.Link, a.Link); order != 0 {
+		if order := cmp.Compare(b.LinkMbps, a.LinkMbps); order != 0 {
 			return order
 		}
 		return cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name))
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,7 +20,7 @@
 
 func TestReader(t *testing.T) {
 	list := []loadshare.Member{
-		{Name: "slow", Zone: "a", Link: 10}, {Name: "fast", Zone: "a", Link: 200}, {Name: "other", Zone: "b", Link: 1000},
+		{Name: "slow", Zone: "a", LinkMbps: 10}, {Name: "fast", Zone: "a", LinkMbps: 200}, {Name: "other", Zone: "b", LinkMbps: 1000},
 	}
 	for _, ca := range []struct {
 		name  string
@@ -40,7 +40,7 @@
 				}
 				return false
 			}
-			all := append([]loadshare.Member{{Name: "self", Zone: "a", Link: 1}}, list...)
+			all := append([]loadshare.Member{{Name: "self", Zone: "a", LinkMbps: 1}}, list...)
 			me, found := readerOf(all, "self", "a", alive)
 			g := NewWithT(t)
 			g.Expect(found).To(BeTrue())
@@ -283,7 +283,7 @@
 	reader.log.Contact(reader.boot.Now())
 	reader.log.SetDirect(true)
 	members := &loadshare.Members{}
-	members.Set([]loadshare.Member{{Name: "self", Zone: "a", Link: 1}, {Name: "reader", Zone: "a", Link: 2}})
+	members.Set([]loadshare.Member{{Name: "self", Zone: "a", LinkMbps: 1}, {Name: "reader", Zone: "a", LinkMbps: 2}})
 	configuration := &countingController{begin: func() { no.state.Confirm(no.boot.Now()) }}
 	others := &countingController{}
 	ca := &caller{log: &reader.log}
--- a/internal/retry/doc.go
+++ b/internal/retry/doc.go
@@ -11,7 +11,7 @@
 //
 //	po := &retry.Policy{Scope: scope}
 //	po.Arrived("filbert-pool")                    // once for each caller's request
-//	backoff, again := po.Again(retry.Try{Service: "filbert-pool", Number: 1, Reason: retry.Lost, Idempotent: true})
+//	backoff, again := po.Decide(retry.Attempt{Service: "filbert-pool", Number: 1, Reason: retry.Lost, Idempotent: true})
 //
 //	value, err := retry.Hedge(ctx, hedge, func(ctx context.Context) (T, error) { ... })
 package retry
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -118,6 +118,6 @@
 // allowHedge takes a token for a second attempt from the service's retry
 // budget.
 func (po *Policy) allowHedge(service string) bool {
-	_, again := po.Again(Try{Service: service, Number: 1, Reason: Slow, Idempotent: true})
+	_, again := po.Decide(Attempt{Service: service, Number: 1, Reason: Slow, Idempotent: true})
 	return again
 }
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -58,8 +58,8 @@
 	maxBackoff = time.Second
 )
 
-// Try is a failed attempt, or a slow one that may be hedged.
-type Try struct {
+// Attempt is a failed attempt, or a slow one that may be hedged.
+type Attempt struct {
 	// Service is the service whose retry budget pays for the retry.
 	Service string
 	// Number is the position of the attempt within its request, counted from 1.
@@ -113,24 +113,24 @@
 // budget.
 func (po *Policy) Arrived(service string) { po.bucket(service).deposit() }
 
-// Again returns whether an attempt is retried, and the back-off before the
+// Decide returns whether an attempt is retried, and the back-off before the
 // retry. A granted retry takes one token from the service's retry budget.
-func (po *Policy) Again(tr Try) (time.Duration, bool) {
+func (po *Policy) Decide(at Attempt) (time.Duration, bool) {
 	po.initialize()
-	if tr.Reason != NotBegun && !tr.Idempotent {
+	if at.Reason != NotBegun && !at.Idempotent {
 		return po.deny(NotIdempotent)
 	}
-	if tr.Number >= MaxAttempts {
+	if at.Number >= MaxAttempts {
 		return po.deny(AttemptsExhausted)
 	}
-	backoff := po.backoff(tr.Number)
-	if tr.Left > 0 && backoff >= tr.Left {
+	backoff := po.backoff(at.Number)
+	if at.Left > 0 && backoff >= at.Left {
 		return po.deny(PastDeadline)
 	}
-	if !po.bucket(tr.Service).withdraw() {
+	if !po.bucket(at.Service).withdraw() {
 		return po.deny(BudgetExhausted)
 	}
-	po.granted[tr.Reason].Inc(1)
+	po.granted[at.Reason].Inc(1)
 	return backoff, true
 }
 
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -37,7 +37,7 @@
 				if int(next>>33)%12 >= failing {
 					break
 				}
-				if _, again := po.Again(retry.Try{Service: "filbert-pool", Number: attempt, Reason: retry.Lost, Idempotent: true}); !again {
+				if _, again := po.Decide(retry.Attempt{Service: "filbert-pool", Number: attempt, Reason: retry.Lost, Idempotent: true}); !again {
 					break
 				}
 			}
@@ -52,17 +52,17 @@
 	gm := NewWithT(t)
 	scope := tally.NewTestScope("", nil)
 	po := &retry.Policy{Scope: scope, Draw: func(n int64) int64 { return n - 1 }}
-	ask := func(tr retry.Try) bool {
-		tr.Service = "rental-desk"
-		_, again := po.Again(tr)
+	ask := func(at retry.Attempt) bool {
+		at.Service = "rental-desk"
+		_, again := po.Decide(at)
 		return again
 	}
-	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.Lost})).To(BeFalse(), "a call that is not idempotent and may have run must not be retried")
-	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.Slow})).To(BeFalse())
-	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.Failed})).To(BeFalse())
-	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.NotBegun})).To(BeTrue())
-	gm.Expect(ask(retry.Try{Number: 1, Reason: retry.Lost, Idempotent: true, Left: time.Millisecond})).To(BeFalse())
-	gm.Expect(ask(retry.Try{Number: retry.MaxAttempts, Reason: retry.NotBegun})).To(BeFalse())
+	gm.Expect(ask(retry.Attempt{Number: 1, Reason: retry.Lost})).To(BeFalse(), "a call that is not idempotent and may have run must not be retried")
+	gm.Expect(ask(retry.Attempt{Number: 1, Reason: retry.Slow})).To(BeFalse())
+	gm.Expect(ask(retry.Attempt{Number: 1, Reason: retry.Failed})).To(BeFalse())
+	gm.Expect(ask(retry.Attempt{Number: 1, Reason: retry.NotBegun})).To(BeTrue())
+	gm.Expect(ask(retry.Attempt{Number: 1, Reason: retry.Lost, Idempotent: true, Left: time.Millisecond})).To(BeFalse())
+	gm.Expect(ask(retry.Attempt{Number: retry.MaxAttempts, Reason: retry.NotBegun})).To(BeFalse())
 	counters := scope.Snapshot().Counters()
 	gm.Expect(counters["retries+reason=not_begun"].Value()).To(Equal(int64(1)))
 	gm.Expect(counters["retries_denied+reason=not_idempotent"].Value()).To(Equal(int64(3)))
