--- a/internal/call/idempotent.go
+++ b/internal/call/idempotent.go
@@ -32,7 +32,7 @@
 			return an, ha.noResponseRefusal(oc, err, sent.Load() > 0)
 		}
 		at := retry.Attempt{
-			Service: service, Number: number, Reason: retry.Lost, Idempotent: true, Left: ha.Clock.Until(oc.ex.Deadline),
+			Service: service, Number: number, Reason: retry.Lost, Idempotent: true, Remaining: ha.Clock.Until(oc.ex.Deadline),
 		}
 		if ee.Kind == endpoint.Unreachable {
 			at.Reason = retry.NotBegun
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -69,7 +69,7 @@
 func (di *Dispatcher) attempt(ctx context.Context, ta *task, de destination) result {
 	en := de.endpoint
 	ta.markTried(en)
-	at := Attempt{Endpoint: en, Left: ta.remaining(di.Clock.Now()), Team: ta.team, PassCredential: ta.passCredential, Standby: de.standby.address(), MaxIdle: maxIdleNonIdempotent}
+	at := Attempt{Endpoint: en, Remaining: ta.remaining(di.Clock.Now()), Team: ta.team, PassCredential: ta.passCredential, Standby: de.standby.address(), MaxIdle: maxIdleNonIdempotent}
 	if ta.route.Repeat == routing.Idempotent {
 		at.MaxIdle = maxIdleIdempotent
 	}
@@ -185,7 +185,7 @@
 	if context.Cause(ctx) != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return refusal.Wrap(refusal.CallerGone, "the caller left", err).WithDispatched()
 	}
-	return refusal.Wrap(refusal.TimedOut, "no answer within "+requestTimeout(ta.route.Timeout, ta.Budget).String(), err)
+	return refusal.Wrap(refusal.TimedOut, "no answer within "+requestTimeout(ta.route.Timeout, ta.CallerTimeout).String(), err)
 }
 
 // logFailedAttempt logs and counts an attempt whose answer is not delivered.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -185,7 +185,7 @@
 	g.Expect(reasonOf(rp)).To(Equal(refusal.TimedOut))
 	g.Expect(ha.replicas[0].lastHeader().Get("Left")).To(BeElementOf("79", "80", "78", "77"))
 	re := ha.request("/read/")
-	re.Budget = 30 * time.Millisecond
+	re.CallerTimeout = 30 * time.Millisecond
 	g.Expect(reasonOf(ha.Serve(context.Background(), re))).To(Equal(refusal.TimedOut))
 }
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -32,12 +32,12 @@
 	Codec   Codec
 	Clock   clockwork.Clock
 	Log     zerolog.Logger
-	// Ages returns the limits on how old the store's confirmation of the
+	// MaxAges returns the limits on how old the store's confirmation of the
 	// configuration may be.
-	Ages func() Ages
-	// Members returns how many instances share the rate at which a cold
+	MaxAges func() MaxAges
+	// InstanceCount returns how many instances share the rate at which a cold
 	// endpoint takes requests.
-	Members func() int
+	InstanceCount func() int
 	// Runs registers streams whose runs can be migrated. If nil, no run is
 	// migrated.
 	Runs Runs
@@ -52,9 +52,9 @@
 	outputEstimator outputEstimator
 }
 
-// Ages limits the staleness of the configuration that a decision may rest on,
-// counted from the time at which the store last confirmed it.
-type Ages struct {
+// MaxAges limits the staleness of the configuration that a decision may rest
+// on, counted from the time at which the store last confirmed it.
+type MaxAges struct {
 	// Key is the limit for accepting a caller's key as still valid.
 	Key time.Duration
 	// Deny is the limit for permanently refusing a request because its route or
@@ -125,7 +125,7 @@
 		switch {
 		case !re.HasKey || !known:
 			return nil, di.deny(age, refusal.New(refusal.Unauthenticated, "the key is not known"))
-		case age > di.Ages().Key:
+		case age > di.MaxAges().Key:
 			return nil, di.staleRefusal(age, "keys")
 		}
 		ta.team = team.Name
@@ -137,7 +137,7 @@
 	if er := di.checkSuspect(ta); er != nil {
 		return nil, er
 	}
-	ta.deadline = re.Arrived.Add(requestTimeout(route.Timeout, re.Budget))
+	ta.deadline = re.Arrived.Add(requestTimeout(route.Timeout, re.CallerTimeout))
 	return ta, nil
 }
 
@@ -152,7 +152,7 @@
 // and otherwise a temporary refusal, since a newer configuration may allow the
 // request.
 func (di *Dispatcher) deny(age time.Duration, er *refusal.Error) *refusal.Error {
-	if age <= di.Ages().Deny {
+	if age <= di.MaxAges().Deny {
 		return er
 	}
 	return di.staleRefusal(age, "routes")
@@ -194,7 +194,7 @@
 func (di *Dispatcher) demand(ta *task) placement.Demand {
 	dm := placement.Demand{Engine: ta.service.Engine, Prompt: ta.Prompt.Tokens, Output: di.outputEstimator.estimate(ta.route.Name, ta.Prompt)}
 	if ta.service.ColdRate > 0 {
-		dm.ColdRate = max(ta.service.ColdRate/float64(max(di.Members(), 1)), 1)
+		dm.ColdRate = max(ta.service.ColdRate/float64(max(di.InstanceCount(), 1)), 1)
 	}
 	return dm
 }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -34,7 +34,7 @@
 	ca := upstream.Call{
 		Address: at.Endpoint.Address, Method: re.Method, Target: re.Target, Host: re.Host, ID: re.ID, Body: re.Body, MaxIdle: at.MaxIdle,
 		Headers: []upstream.Header{
-			{Name: "Id", Value: re.ID}, {Name: "Team", Value: at.Team}, {Name: "Left", Value: strconv.FormatInt(at.Left.Milliseconds(), 10)},
+			{Name: "Id", Value: re.ID}, {Name: "Team", Value: at.Team}, {Name: "Left", Value: strconv.FormatInt(at.Remaining.Milliseconds(), 10)},
 		},
 	}
 	if at.Standby != "" {
@@ -157,8 +157,8 @@
 		Tracker: &placement.LoadTracker{Clock: clock, Zone: "a", Instance: "i"},
 		Budget:  &budget.Window{Clock: clock, Span: time.Minute, Extra: func() float64 { return 2 }},
 		Sender:  &upstream.Pool{IDHeader: "Id", Clock: clock}, Codec: testCodec{}, Clock: clock, Log: zerolog.Nop(),
-		Ages:    func() Ages { return Ages{Key: 4 * time.Second, Deny: 4 * time.Second} },
-		Members: func() int { return 1 },
+		MaxAges:       func() MaxAges { return MaxAges{Key: 4 * time.Second, Deny: 4 * time.Second} },
+		InstanceCount: func() int { return 1 },
 	}}
 	var list []feed.Object[roster.Endpoint]
 	for ix, script := range scripts {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -20,10 +20,10 @@
 	Tokens int
 	// MaxOutput limits the number of generated tokens.
 	MaxOutput int
-	// Hint is the caller's estimate of the number of generated tokens. Zero
+	// OutputHint is the caller's estimate of the number of generated tokens. Zero
 	// means that there is none.
-	Hint  int
-	Parts []Part
+	OutputHint int
+	Parts      []Part
 }
 
 // Request is a request of a caller, decoded by a platform's codec.
@@ -43,11 +43,11 @@
 	HasKey bool
 	// Credential is the received header value that contains the key.
 	Credential string
-	// Budget is how long the caller waits, counted from Arrived. Zero means no
-	// limit.
-	Budget  time.Duration
-	Arrived time.Time
-	Prompt  Prompt
+	// CallerTimeout is how long the caller waits, counted from Arrived. Zero
+	// means no limit.
+	CallerTimeout time.Duration
+	Arrived       time.Time
+	Prompt        Prompt
 }
 
 // Resume identifies a copy of a run's KV cache from which an attempt continues
@@ -66,8 +66,8 @@
 // Attempt holds the parameters of sending a request to one endpoint.
 type Attempt struct {
 	Endpoint roster.Endpoint
-	// Left is the time that remains until the request's deadline.
-	Left time.Duration
+	// Remaining is the time until the request's deadline.
+	Remaining time.Duration
 	// Team is the caller's team. It is empty if the route needs no key.
 	Team string
 	// PassCredential reports whether the caller's credential is forwarded to
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -141,7 +141,7 @@
 	if errors.Is(err, io.EOF) && se.endsComplete() {
 		se.completeBytes = len(se.pending)
 		se.di.Log.Info().Str("event", "delivered").Str("request", se.ta.ID).Str("endpoint", se.endpoint.ID).Int("events", se.events).
-			Int("moves", se.moves).Int("prompt", se.ta.Prompt.Tokens).Int("max_output", se.ta.Prompt.MaxOutput).Int("hint", se.ta.Prompt.Hint).
+			Int("moves", se.moves).Int("prompt", se.ta.Prompt.Tokens).Int("max_output", se.ta.Prompt.MaxOutput).Int("hint", se.ta.Prompt.OutputHint).
 			Dur("took", se.di.Clock.Since(se.ta.Arrived)).Msg("dispatch: stream delivered")
 		se.di.clearSuspicion(se.ta)
 		if en := se.ta.service.Engine; en != nil {
@@ -256,7 +256,7 @@
 		se.run.SetStandby(se.standby.id())
 	}
 	at := Attempt{
-		Endpoint: mv.Target, Left: se.ta.remaining(di.Clock.Now()), Team: se.ta.team, PassCredential: se.ta.passCredential, Standby: se.standby.address(),
+		Endpoint: mv.Target, Remaining: se.ta.remaining(di.Clock.Now()), Team: se.ta.team, PassCredential: se.ta.passCredential, Standby: se.standby.address(),
 		Resume: &Resume{Source: mv.From.Address, Handle: mv.Handle, LastEvent: se.lastEvent},
 	}
 	di.Budget.Force(se.ta.service.Name)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -132,9 +132,9 @@
 
 // maxAges returns the maximum ages of the store's confirmations by the current
 // settings.
-func (gw *Gateway) maxAges() dispatch.Ages {
+func (gw *Gateway) maxAges() dispatch.MaxAges {
 	se := gw.settings.Load()
-	return dispatch.Ages{Key: se.maxKeyAge(), Deny: se.maxDenyAge()}
+	return dispatch.MaxAges{Key: se.maxKeyAge(), Deny: se.maxDenyAge()}
 }
 
 // staleAfter is the age of the store's last confirmation above which engines are
@@ -161,13 +161,13 @@
 	gw.pool = upstream.Pool{IDHeader: gw.Adapter.IDHeader, Clock: gw.Clock}
 	engines := gw.Adapter.Engines(&gw.pool)
 	mover := &migration.Mover{Engines: engines, Roster: &gw.roster, Tracker: &gw.tracker, Clock: gw.Clock, Log: gw.Log, MoveOrder: &gw.moveOrder}
-	gw.roster = roster.Roster{Clock: gw.Clock, Log: gw.Log, OnLeave: mover.Leaving, OnChange: gw.relay.Observe}
+	gw.roster = roster.Roster{Clock: gw.Clock, Log: gw.Log, OnLeave: mover.Evacuate, OnChange: gw.relay.Observe}
 	gw.relay = relay.Log{Boot: gw.Boot, Roster: &gw.roster, State: &gw.state, Now: gw.Clock.Now, Epoch: gw.Clock.Now().UnixNano()}
 	gw.suspects = &suspicion.Registry{Caller: &peer.Client{}, Peers: gw.crashRecipients, Clock: gw.Clock}
 	hangups := &hangup.Watcher{Clock: gw.Clock}
 	di := &dispatch.Dispatcher{
 		State: &gw.state, Roster: &gw.roster, Tracker: &gw.tracker, Sender: &gw.pool, Codec: gw.Adapter.Codec, Clock: gw.Clock, Log: gw.Log,
-		Budget: se.budget(gw.Clock, gw.instanceCount), Ages: gw.maxAges, Members: gw.instanceCount,
+		Budget: se.budget(gw.Clock, gw.instanceCount), MaxAges: gw.maxAges, InstanceCount: gw.instanceCount,
 		Runs: mover, Suspects: gw.suspects, Reachable: gw.pool.Reachable, Meter: &dispatch.Meter{Scope: gw.metrics.Scope},
 	}
 	gw.ingress = ingress.Server{Listener: li.callers, Codec: gw.Adapter.Codec, Dispatcher: di, Hangups: hangups, Clock: gw.Clock, Log: gw.Log}
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -18,7 +18,7 @@
 type readiness struct {
 	state    *routing.State
 	roster   *roster.Roster
-	maxAges  func() dispatch.Ages
+	maxAges  func() dispatch.MaxAges
 	stopping atomic.Bool
 }
 
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -189,8 +189,8 @@
 const retryAfterDivisor = 4
 
 func retryAfter(re *dispatch.Request, pause time.Duration) time.Duration {
-	if re.Budget > 0 {
-		pause = min(pause, re.Budget/retryAfterDivisor)
+	if re.CallerTimeout > 0 {
+		pause = min(pause, re.CallerTimeout/retryAfterDivisor)
 	}
 	return pause
 }
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -34,7 +34,7 @@
 func (testCodec) Request(ctx *fasthttp.RequestCtx, arrived time.Time) *dispatch.Request {
 	return &dispatch.Request{
 		ID: string(ctx.Request.Header.Peek("Id")), Method: string(ctx.Method()), Target: string(ctx.RequestURI()), Path: string(ctx.Path()),
-		Host: "h", Body: append([]byte(nil), ctx.PostBody()...), Arrived: arrived, Budget: time.Second,
+		Host: "h", Body: append([]byte(nil), ctx.PostBody()...), Arrived: arrived, CallerTimeout: time.Second,
 	}
 }
 
@@ -103,8 +103,8 @@
 	}
 	di := &dispatch.Dispatcher{
 		State: st, Roster: ro, Tracker: &placement.LoadTracker{Clock: clock}, Budget: &budget.Window{Clock: clock, Span: time.Minute, Extra: func() float64 { return 0 }}, Codec: testCodec{},
-		Sender: &upstream.Pool{IDHeader: "Id", Clock: clock}, Clock: clock, Log: zerolog.Nop(), Members: func() int { return 1 },
-		Ages: func() dispatch.Ages { return dispatch.Ages{Key: time.Hour, Deny: time.Hour} },
+		Sender: &upstream.Pool{IDHeader: "Id", Clock: clock}, Clock: clock, Log: zerolog.Nop(), InstanceCount: func() int { return 1 },
+		MaxAges: func() dispatch.MaxAges { return dispatch.MaxAges{Key: time.Hour, Deny: time.Hour} },
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -182,7 +182,7 @@
 
 func TestPauseLeavesTimeForTheAnswer(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(retryAfter(&dispatch.Request{Budget: 400 * time.Millisecond}, time.Second)).To(Equal(100 * time.Millisecond))
+	g.Expect(retryAfter(&dispatch.Request{CallerTimeout: 400 * time.Millisecond}, time.Second)).To(Equal(100 * time.Millisecond))
 	g.Expect(retryAfter(&dispatch.Request{}, time.Second)).To(Equal(time.Second))
 }
 
--- a/internal/migration/doc.go
+++ b/internal/migration/doc.go
@@ -15,7 +15,7 @@
 // # Usage
 //
 //	mo := &migration.Mover{Engines: engines, Roster: ro, Tracker: lt, Clock: clock, Log: log, MoveOrder: order}
-//	ro.OnLeave = mo.Leaving
+//	ro.OnLeave = mo.Evacuate
 //	ru := &migration.Run{ID: id, Service: service, ...}
 //	ru.SetEndpoint(en)
 //	mo.Add(ru)
--- a/internal/migration/mover.go
+++ b/internal/migration/mover.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// Leaving starts moving the runs of a leaving engine and returns at once. It
+// Evacuate starts moving the runs of a leaving engine and returns at once. It
 // has no effect while runs of this engine are already being moved.
-func (mo *Mover) Leaving(en roster.Endpoint) {
+func (mo *Mover) Evacuate(en roster.Endpoint) {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
 	if mo.evacuating[en.ID] {
--- a/internal/migration/mover_test.go
+++ b/internal/migration/mover_test.go
@@ -111,7 +111,7 @@
 	ha := newHarness(copySucceeds)
 	ru := ha.addRun("r1")
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	mv, moved := await(ru)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(mv.From.ID).To(Equal("e1"))
@@ -128,7 +128,7 @@
 	ha := newHarness(copySucceeds)
 	runs := []*Run{ha.addRun("r1"), ha.addRun("r2"), ha.addRun("r3")}
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	for _, ru := range runs {
 		_, moved := await(ru)
 		g.Expect(moved).To(BeTrue())
@@ -156,7 +156,7 @@
 	ru := ha.addRun("r1")
 	ru.Output = 400
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	mv, moved := await(ru)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(mv.Target.Zone).To(Equal("a"))
@@ -173,7 +173,7 @@
 	lost.SetStandby("e3")
 	ha.Roster.Leave("e3")
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	mv, moved := await(lost)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(mv.Target.ID).To(Equal("e2"))
@@ -197,7 +197,7 @@
 	}
 	first, second := ha.addRun("r1"), ha.addRun("r2")
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	for _, ru := range []*Run{first, second} {
 		mv, moved := await(ru)
 		g.Expect(moved).To(BeTrue())
@@ -262,7 +262,7 @@
 	}
 	ru = ha.addRun("r1")
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	g.Eventually(ha.engines.freedHandles, "5s").Should(HaveLen(1))
 	for _, call := range ha.engines.calls() {
 		g.Expect(call).To(HaveSuffix("final=false"))
@@ -317,7 +317,7 @@
 	ru := ha.addRun("r1")
 	begun := ha.Clock.Now()
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	_, moved := await(ru)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(ha.Clock.Since(begun)).To(BeNumerically(">=", announceDelay+3*turnPollInterval))
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -68,8 +68,8 @@
 	// Idempotent tells whether running the call twice has the same effect as
 	// running it once.
 	Idempotent bool
-	// Left is the time until the deadline. Zero means no deadline.
-	Left time.Duration
+	// Remaining is the time until the deadline. Zero means no deadline.
+	Remaining time.Duration
 }
 
 // Policy decides on retries and holds the retry budget of each service. Set the
@@ -124,7 +124,7 @@
 		return po.deny(AttemptsExhausted)
 	}
 	backoff := po.backoff(at.Number)
-	if at.Left > 0 && backoff >= at.Left {
+	if at.Remaining > 0 && backoff >= at.Remaining {
 		return po.deny(PastDeadline)
 	}
 	if !po.bucket(at.Service).withdraw() {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -61,7 +61,7 @@
 	gm.Expect(ask(retry.Attempt{Number: 1, Reason: retry.Slow})).To(BeFalse())
 	gm.Expect(ask(retry.Attempt{Number: 1, Reason: retry.Failed})).To(BeFalse())
 	gm.Expect(ask(retry.Attempt{Number: 1, Reason: retry.NotBegun})).To(BeTrue())
-	gm.Expect(ask(retry.Attempt{Number: 1, Reason: retry.Lost, Idempotent: true, Left: time.Millisecond})).To(BeFalse())
+	gm.Expect(ask(retry.Attempt{Number: 1, Reason: retry.Lost, Idempotent: true, Remaining: time.Millisecond})).To(BeFalse())
 	gm.Expect(ask(retry.Attempt{Number: retry.MaxAttempts, Reason: retry.NotBegun})).To(BeFalse())
 	counters := scope.Snapshot().Counters()
 	gm.Expect(counters["retries+reason=not_begun"].Value()).To(Equal(int64(1)))
