--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -9,7 +9,7 @@
 //	gr, err := granter.Acquire(ctx, admission.Request{ID: id, Service: "filbert-pool"})
 //	if err != nil { return err } // a *refusal.Error, the request was not run
 //	gr.Tokens.Store(n)           // as tokens arrive
-//	granter.Release(gr, admission.Outcome{Result: admission.Whole, Tokens: n})
+//	granter.Release(gr, admission.Outcome{Result: admission.Completed, Tokens: n})
 package admission
 
 import (
@@ -76,8 +76,8 @@
 
 // Results of a granted request.
 const (
-	// Whole means that the answer was completed.
-	Whole Result = "whole"
+	// Completed means that the endpoint sent the complete answer.
+	Completed Result = "whole"
 	// Canceled means that the caller canceled the request.
 	Canceled Result = "canceled"
 	// NotBegun means that the endpoint did not accept the request.
--- a/internal/admission/allocator.go
+++ b/internal/admission/allocator.go
@@ -32,9 +32,9 @@
 	// overload the newest requests are therefore refused, and older ones are
 	// served whatever their size.
 	MaxWaitShare float64
-	// Known returns the length of the answer in tokens if it is known in
+	// KnownLength returns the length of the answer in tokens if it is known in
 	// advance, and zero otherwise. It may be nil.
-	Known func(re Request) int64
+	KnownLength func(re Request) int64
 
 	lengths  length.Estimator
 	accounts map[string]*account
@@ -235,10 +235,10 @@
 }
 
 func (al *Allocator) knownLength(re Request) int64 {
-	if al.Known == nil {
+	if al.KnownLength == nil {
 		return 0
 	}
-	return al.Known(re)
+	return al.KnownLength(re)
 }
 
 // Progress reports how many tokens of the answer exist.
@@ -303,13 +303,13 @@
 	}
 	ac := se.ac
 	delete(al.running, id)
-	if ou.Result == Whole && !ac.decodes() && ac.saturated() {
+	if ou.Result == Completed && !ac.decodes() && ac.saturated() {
 		ac.warm = ac.warm.WithProof(1.0 / warmup.ProofCalls)
 	}
 	ac.remove(se)
 	se.tokens = max(se.tokens, ou.Tokens)
 	al.recordTokens(se)
-	if ou.Result == Whole {
+	if ou.Result == Completed {
 		se.curve.ObserveEnd(se.tokens)
 	}
 	al.charge(se, float64(se.tokens-se.base)-se.charged)
--- a/internal/admission/allocator_test.go
+++ b/internal/admission/allocator_test.go
@@ -70,7 +70,7 @@
 		al := allocator(0, 1, "a", "b")
 		withDeadline := admission.Request{Deadline: start.Add(time.Second)}
 		Expect(submitAndDecide(al, start, withDeadline, "r", 5)).To(HaveLen(2))
-		al.Finish(start, "r0", admission.Outcome{Result: admission.Whole})
+		al.Finish(start, "r0", admission.Outcome{Result: admission.Completed})
 		Expect(al.Decide(start)).To(ConsistOf(HaveField("Refusal", BeNil())))
 		Expect(al.Decide(start.Add(time.Second))).To(ConsistOf(
 			HaveField("Refusal.Reason", refusal.DeadlinePassed), HaveField("Refusal.Reason", refusal.DeadlinePassed)))
@@ -93,7 +93,7 @@
 		now := start
 		for ix := range 10 { // one grant per second
 			submitAndDecide(al, now, long, "s"+strconv.Itoa(ix), 1)
-			al.Finish(now, "s"+strconv.Itoa(ix)+"0", admission.Outcome{Result: admission.Whole, Tokens: 500})
+			al.Finish(now, "s"+strconv.Itoa(ix)+"0", admission.Outcome{Result: admission.Completed, Tokens: 500})
 			now = now.Add(time.Second)
 		}
 		Expect(submitAndDecide(al, now, long, "busy", 2)).To(HaveLen(1))
@@ -241,7 +241,7 @@
 	case 2:
 		mo.al.Progress(mo.now, id, int64(step))
 	case 3:
-		mo.al.Finish(mo.now, id, admission.Outcome{Result: admission.Whole, Tokens: int64(step)})
+		mo.al.Finish(mo.now, id, admission.Outcome{Result: admission.Completed, Tokens: int64(step)})
 		delete(mo.running, id)
 	case 4:
 		mo.now = mo.now.Add(time.Duration(rapid.IntRange(0, 700).Draw(rt, "ms")) * time.Millisecond)
--- a/internal/admission/choose_test.go
+++ b/internal/admission/choose_test.go
@@ -81,7 +81,7 @@
 		_ = al.Submit(benchStart, qr.re)
 		al.Decide(benchStart)
 		al.Progress(benchStart, qr.re.ID, refreshTokens)
-		al.Finish(benchStart, qr.re.ID, Outcome{Result: Whole, Tokens: 300})
+		al.Finish(benchStart, qr.re.ID, Outcome{Result: Completed, Tokens: 300})
 	}
 }
 
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -1,9 +1,9 @@
 package admission
 
-// Bound returns how many requests the endpoint can currently run at once,
-// according to its warm-up state and its token latency. It is zero for an
-// unknown endpoint.
-func (al *Allocator) Bound(name string) int {
+// ConcurrencyLimit returns how many requests the endpoint can currently run at
+// once, according to its warm-up state and its token latency. It is zero for
+// an unknown endpoint.
+func (al *Allocator) ConcurrencyLimit(name string) int {
 	ac, found := al.accounts[name]
 	if !found {
 		return 0
@@ -18,10 +18,10 @@
 	return found && ac.warm.Warm()
 }
 
-// Warmed records that another allocator has seen the endpoint complete its
+// ConfirmWarm records that another allocator has seen the endpoint complete its
 // warm-up under the boot ID. This takes effect once the endpoint reports the
 // same ID.
-func (al *Allocator) Warmed(name, boot string) {
+func (al *Allocator) ConfirmWarm(name, boot string) {
 	ac, found := al.accounts[name]
 	if !found || ac.Endpoint.Capacity.Sequences == 0 {
 		return
--- a/internal/admission/local.go
+++ b/internal/admission/local.go
@@ -11,10 +11,10 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// Local is a Granter that chooses the endpoint with the fewest requests in
-// flight. It counts only the requests of this instance. Set the exported
+// LocalGranter is a Granter that chooses the endpoint with the fewest requests
+// in flight. It counts only the requests of this instance. Set the exported
 // fields before the first call.
-type Local struct {
+type LocalGranter struct {
 	Configuration *snapshot.Holder[kind.Configuration]
 
 	mu sync.Mutex
@@ -25,9 +25,9 @@
 }
 
 // Acquire implements Granter.
-func (lo *Local) Acquire(ctx context.Context, re Request) (*Grant, error) {
+func (lg *LocalGranter) Acquire(ctx context.Context, re Request) (*Grant, error) {
 	for {
-		en, changed, eligible := lo.take(re)
+		en, changed, eligible := lg.take(re)
 		if !eligible {
 			return nil, refusal.New(refusal.NoCapacity, "no endpoint of service "+re.Service+" takes new work")
 		}
@@ -45,18 +45,18 @@
 // take reserves a slot and returns its endpoint, with a nil channel. If all
 // eligible endpoints are full, it returns a channel that is closed when a slot
 // is released. If no endpoint is eligible for the request, eligible is false.
-func (lo *Local) take(re Request) (en kind.Endpoint, wait chan struct{}, eligible bool) {
-	lo.mu.Lock()
-	defer lo.mu.Unlock()
-	if lo.inFlight == nil {
-		lo.inFlight = make(map[string]int)
-		lo.changed = make(chan struct{})
+func (lg *LocalGranter) take(re Request) (en kind.Endpoint, wait chan struct{}, eligible bool) {
+	lg.mu.Lock()
+	defer lg.mu.Unlock()
+	if lg.inFlight == nil {
+		lg.inFlight = make(map[string]int)
+		lg.changed = make(chan struct{})
 	}
-	cf := lo.Configuration.Load()
+	cf := lg.Configuration.Load()
 	best, found := kind.Endpoint{}, false
 	for _, it := range cf.ServiceEndpoints(re.Service) {
 		if re.Only == it.Name {
-			lo.inFlight[it.Name]++
+			lg.inFlight[it.Name]++
 			return it, nil, true
 		}
 		usable := re.Only == "" && cf.Eligible(it) && kind.Reachable(it.Half, re.Half) && !slices.Contains(re.Exclude, it.Name)
@@ -64,23 +64,23 @@
 			continue
 		}
 		eligible = true
-		free := lo.inFlight[it.Name] < it.Capacity.Sequences
-		if free && (!found || lo.inFlight[it.Name] < lo.inFlight[best.Name]) {
+		free := lg.inFlight[it.Name] < it.Capacity.Sequences
+		if free && (!found || lg.inFlight[it.Name] < lg.inFlight[best.Name]) {
 			best, found = it, true
 		}
 	}
 	if !found {
-		return best, lo.changed, eligible
+		return best, lg.changed, eligible
 	}
-	lo.inFlight[best.Name]++
+	lg.inFlight[best.Name]++
 	return best, nil, true
 }
 
 // Release implements Granter.
-func (lo *Local) Release(gr *Grant, _ Outcome) {
-	lo.mu.Lock()
-	defer lo.mu.Unlock()
-	lo.inFlight[gr.Endpoint.Name]--
-	close(lo.changed)
-	lo.changed = make(chan struct{})
+func (lg *LocalGranter) Release(gr *Grant, _ Outcome) {
+	lg.mu.Lock()
+	defer lg.mu.Unlock()
+	lg.inFlight[gr.Endpoint.Name]--
+	close(lg.changed)
+	lg.changed = make(chan struct{})
 }
--- a/internal/admission/slope_test.go
+++ b/internal/admission/slope_test.go
@@ -34,7 +34,7 @@
 			for report := range reports {
 				al.Progress(now.Add(time.Duration(report)*time.Second), id, int64(report+1)*20)
 			}
-			al.Finish(now.Add(reports*time.Second), id, admission.Outcome{Result: admission.Whole, Tokens: reports * 20})
+			al.Finish(now.Add(reports*time.Second), id, admission.Outcome{Result: admission.Completed, Tokens: reports * 20})
 		}
 		took := time.Since(begun)
 		if granted != requests {
--- a/internal/allocation/allocation_test.go
+++ b/internal/allocation/allocation_test.go
@@ -225,7 +225,7 @@
 				if err != nil {
 					t.Log(time.Now(), err)
 				}
-				if result == admission.Whole {
+				if result == admission.Completed {
 					whole.Add(1)
 				}
 			})
--- a/internal/allocation/bench_test.go
+++ b/internal/allocation/bench_test.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	gt.Release(gr, admission.Outcome{Result: admission.Whole})
+	gt.Release(gr, admission.Outcome{Result: admission.Completed})
 }
 
 // BenchmarkGrant measures an Acquire and a Release, at the holder itself and
--- a/internal/allocation/crash.go
+++ b/internal/allocation/crash.go
@@ -25,7 +25,7 @@
 		return
 	}
 	switch re {
-	case admission.Whole:
+	case admission.Completed:
 		if gt.Suspicion.Verdict(pl.re.Fingerprint) != suspicion.Clear {
 			go gt.Suspicion.Finished(context.Background(), pl.re.Fingerprint)
 		}
--- a/internal/allocation/holder.go
+++ b/internal/allocation/holder.go
@@ -246,7 +246,7 @@
 	defer ho.mu.Unlock()
 	ho.refresh(now)
 	if _, found := ho.reports[name]; !found && lo.BootID != "" && ho.warm[name] == lo.BootID {
-		ho.core.Warmed(name, lo.BootID)
+		ho.core.ConfirmWarm(name, lo.BootID)
 	}
 	ho.core.Report(now, name, lo)
 	warm := ho.core.Warm(name)
--- a/internal/allocation/holder_test.go
+++ b/internal/allocation/holder_test.go
@@ -273,7 +273,7 @@
 			for _, in := range wo.instances {
 				go func() {
 					tried.Add(1)
-					if result, _ := wo.serve(ctx, in, "r", uint64(tried.Load()), 2*time.Second); result == admission.Whole {
+					if result, _ := wo.serve(ctx, in, "r", uint64(tried.Load()), 2*time.Second); result == admission.Completed {
 						whole.Add(1)
 					}
 				}()
--- a/internal/allocation/reserve.go
+++ b/internal/allocation/reserve.go
@@ -88,7 +88,7 @@
 		return
 	}
 	for _, en := range ho.group.endpoints(ho.configuration) {
-		spare := grantable(en.Capacity).Sequences - ho.core.Bound(en.Name)
+		spare := grantable(en.Capacity).Sequences - ho.core.ConcurrencyLimit(en.Name)
 		ho.applyReserve(now, en.Name, max(ho.reserve[en.Name]-spare, 0))
 	}
 }
--- a/internal/allocation/world_test.go
+++ b/internal/allocation/world_test.go
@@ -222,7 +222,7 @@
 		}
 		result := wo.machines[gr.Endpoint.Name].run(gr, runs)
 		in.gt.Release(gr, admission.Outcome{Result: result, Tokens: gr.Tokens.Load(), Elapsed: runs})
-		if result == admission.Whole {
+		if result == admission.Completed {
 			return result, nil
 		}
 		exclude = append(exclude, gr.Endpoint.Name)
@@ -259,7 +259,7 @@
 	}
 	ma.recordSample()
 	ma.running--
-	return admission.Whole
+	return admission.Completed
 }
 
 // begin starts a request. It records a violation if the machine exceeds its
--- a/internal/bench/simulation/allocated.go
+++ b/internal/bench/simulation/allocated.go
@@ -48,7 +48,7 @@
 		ad.al.QueueLimit, ad.al.QueueWait = math.MaxInt, unlimited
 	}
 	if oracle {
-		ad.al.Known = func(re admission.Request) int64 { return int64(ad.jobs[re.ID].length) }
+		ad.al.KnownLength = func(re admission.Request) int64 { return int64(ad.jobs[re.ID].length) }
 	}
 	var list []admission.Candidate
 	for _, en := range ru.engines {
@@ -162,7 +162,7 @@
 func (ad *allocatedDispatcher) ended(jo *job, re admission.Result) {
 	ad.su.ended(jo, re)
 	ad.finish(jo, re)
-	if re == admission.Whole {
+	if re == admission.Completed {
 		delete(ad.jobs, jo.id)
 	}
 	ad.decide()
--- a/internal/bench/simulation/run.go
+++ b/internal/bench/simulation/run.go
@@ -250,7 +250,7 @@
 	for _, jo := range ended {
 		jo.finished = true
 		ru.me.ended(ru.now, jo)
-		ru.di.ended(jo, admission.Whole)
+		ru.di.ended(jo, admission.Completed)
 	}
 }
 
--- a/internal/bench/simulation/suspect.go
+++ b/internal/bench/simulation/suspect.go
@@ -38,7 +38,7 @@
 func (su *suspects) ended(jo *job, re admission.Result) {
 	su.probation = without(su.probation, jo)
 	switch {
-	case re == admission.Whole:
+	case re == admission.Completed:
 		su.registry.Finished(context.Background(), jo.fingerprint)
 	case re == admission.Lost && jo.engine != nil:
 		lo := suspicion.Loss{Endpoint: jo.engine.name, Boot: strconv.Itoa(jo.engine.boot)}
--- a/internal/call/fleet_test.go
+++ b/internal/call/fleet_test.go
@@ -281,7 +281,7 @@
 	guard := &platform.Guard{Store: processStore{Store: in.link, in: in}, Clock: clock}
 	name := "entry-" + strconv.Itoa(len(fl.instances))
 	in.handler = &call.Handler{
-		Granter: &admission.Local{Configuration: &in.holder}, Sender: sender{in: in, endpoints: fl.endpoints},
+		Granter: &admission.LocalGranter{Configuration: &in.holder}, Sender: sender{in: in, endpoints: fl.endpoints},
 		Book:  &record.Book{Store: guard.For(platform.ClassRecord), Instance: name, Clock: clock, Log: zerolog.Nop()},
 		Clock: clock, Log: zerolog.Nop(),
 	}
--- a/internal/call/forwarding_test.go
+++ b/internal/call/forwarding_test.go
@@ -79,7 +79,7 @@
 		in.holder.Store(cf)
 		clock := clockwork.NewRealClock()
 		in.handler = &call.Handler{
-			Granter: &admission.Local{Configuration: &in.holder}, Sender: &endpoint.Client{}, Clock: clock, Log: zerolog.Nop(),
+			Granter: &admission.LocalGranter{Configuration: &in.holder}, Sender: &endpoint.Client{}, Clock: clock, Log: zerolog.Nop(),
 			Book: &record.Book{Store: platformfake.New(), Instance: "entry", Clock: clock, Log: zerolog.Nop()},
 		}
 	})
--- a/internal/call/handler.go
+++ b/internal/call/handler.go
@@ -212,7 +212,7 @@
 func resultOf(err error) admission.Result {
 	switch {
 	case err == nil:
-		return admission.Whole
+		return admission.Completed
 	case endpoint.IsKind(err, endpoint.Unreachable):
 		return admission.NotBegun
 	default:
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -111,7 +111,7 @@
 	}
 	no.Build()
 	no.Plans.NewID = fl.newID
-	no.granter = no.Count(&admission.Local{Configuration: &no.holder})
+	no.granter = no.Count(&admission.LocalGranter{Configuration: &no.holder})
 	fl.net.Listen(self.Peer, self.Zone, no.Services())
 	fl.nodes = append(fl.nodes, no)
 	fl.list()
--- a/internal/control/move_test.go
+++ b/internal/control/move_test.go
@@ -57,7 +57,7 @@
 					killed = fl.killOwner(now.Owner, user)
 				}
 				if gr != nil && fl.clock.Now().After(released) {
-					user.granter.Release(gr, admission.Outcome{Result: admission.Whole})
+					user.granter.Release(gr, admission.Outcome{Result: admission.Completed})
 					gr = nil
 				}
 				en, _ := user.holder.Load().Endpoint("engine-0")
@@ -102,9 +102,9 @@
 		defer fl.stop()
 		fl.settle()
 		no := fl.nodes[0]
-		inner := &admission.Local{Configuration: &no.holder}
+		inner := &admission.LocalGranter{Configuration: &no.holder}
 		pl := makePlan(t, no, `{"actions": [{"drain_endpoint": "engine-0"}]}`)
-		late := no.Count(lateGranter{Local: inner, before: func() {
+		late := no.Count(lateGranter{LocalGranter: inner, before: func() {
 			if no.State.Version() == 1 {
 				confirmPlan(t, no, pl)
 			}
@@ -122,7 +122,7 @@
 // lateGranter calls before after a grant has been decided and before it is
 // returned.
 type lateGranter struct {
-	*admission.Local
+	*admission.LocalGranter
 	before func()
 }
 
@@ -245,7 +245,7 @@
 
 // Acquire implements admission.Granter.
 func (la lateGranter) Acquire(ctx context.Context, re admission.Request) (*admission.Grant, error) {
-	gr, err := la.Local.Acquire(ctx, re)
+	gr, err := la.LocalGranter.Acquire(ctx, re)
 	la.before()
 	return gr, err
 }
--- a/internal/generation/path_test.go
+++ b/internal/generation/path_test.go
@@ -38,12 +38,12 @@
 
 // countingGranter counts the places that are held.
 type countingGranter struct {
-	admission.Local
+	admission.LocalGranter
 	held atomic.Int64
 }
 
 func (cg *countingGranter) Acquire(ctx context.Context, re admission.Request) (*admission.Grant, error) {
-	gr, err := cg.Local.Acquire(ctx, re)
+	gr, err := cg.LocalGranter.Acquire(ctx, re)
 	if err == nil {
 		cg.held.Add(1)
 	}
@@ -52,7 +52,7 @@
 
 func (cg *countingGranter) Release(gr *admission.Grant, ou admission.Outcome) {
 	cg.held.Add(-1)
-	cg.Local.Release(gr, ou)
+	cg.LocalGranter.Release(gr, ou)
 }
 
 // instance is an entry instance that runs in the test process.
--- a/internal/generation/relay.go
+++ b/internal/generation/relay.go
@@ -197,7 +197,7 @@
 	se.ha.countEnd(streamEndOf(err))
 	switch {
 	case err == nil:
-		se.release(admission.Whole)
+		se.release(admission.Completed)
 	case errors.Is(err, errCallerGone), errors.Is(err, errCallerSlow):
 		se.cancelAfterGrace()
 	case isHandover(err):
