--- a/internal/call/fleet_test.go
+++ b/internal/call/fleet_test.go
@@ -221,7 +221,7 @@
 	alive := se.in.crossBoundary()
 	switch {
 	case work > re.Timeout:
-		return fail(endpoint.Silent)
+		return fail(endpoint.TimedOut)
 	case !alive || mode == endpointLosesResponses || se.in.isUnreachable(url):
 		return fail(endpoint.Lost)
 	}
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -85,7 +85,7 @@
 		return commandError{err}
 	}
 	defer closeLogs()
-	rows, err := tracing.Losses(logs)
+	rows, err := tracing.CountEndings(logs)
 	if err != nil {
 		return commandError{err}
 	}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -70,7 +70,7 @@
 	en := de.endpoint
 	ta.markTried(en)
 	at := Attempt{Endpoint: en, Remaining: ta.remaining(di.Clock.Now()), Team: ta.team, PassCredential: ta.passCredential, Standby: de.standby.address(), MaxIdle: maxIdleNonIdempotent}
-	if ta.route.Repeat == routing.Idempotent {
+	if ta.route.RetryClass == routing.Idempotent {
 		at.MaxIdle = maxIdleIdempotent
 	}
 	ti := di.Tracker.Begin(en, de.demand)
@@ -86,7 +86,7 @@
 		ti.End(placement.Lost)
 		an.Close()
 		return di.handleLost(ta, en, errNotGenuine)
-	case an.Status >= 500 && ta.route.Repeat == routing.Idempotent:
+	case an.Status >= 500 && ta.route.RetryClass == routing.Idempotent:
 		return di.handleServerError(ta, en, ti, an, ve)
 	}
 	return result{step: deliver, answer: an, verdict: ve, ticket: ti}
@@ -108,7 +108,7 @@
 		ti.End(placement.Done)
 		ta.ran++
 		return result{step: giveUp, refusal: di.endedRefusal(ctx, ta, err)}
-	case upstream.Lost, upstream.Garbled:
+	case upstream.Lost, upstream.Mismatched:
 	}
 	ti.End(placement.Lost)
 	return di.handleLost(ta, en, err)
@@ -169,7 +169,7 @@
 // mayRetry reports whether a request that may have run can be sent again. If
 // so, it takes one retry from the budget.
 func (di *Dispatcher) mayRetry(ta *task) bool {
-	return ta.route.Repeat == routing.Idempotent && ta.ran < ta.route.MaxAttempts &&
+	return ta.route.RetryClass == routing.Idempotent && ta.ran < ta.route.MaxAttempts &&
 		ta.remaining(di.Clock.Now()) > minAttemptTime && di.Budget.Take(ta.service.Name)
 }
 
@@ -192,6 +192,6 @@
 func (di *Dispatcher) logFailedAttempt(ta *task, en roster.Endpoint, outcome string, err error) {
 	di.Meter.countAttempt(outcome)
 	di.Log.Info().Str("event", "attempt_failed").Str("request", ta.ID).Str("endpoint", en.ID).Str("how", outcome).
-		Str("repeat", ta.route.Repeat.String()).Int("ran", ta.ran).Int("arrivals", ta.arrivals).
+		Str("repeat", ta.route.RetryClass.String()).Int("ran", ta.ran).Int("arrivals", ta.arrivals).
 		Dur("left", ta.remaining(di.Clock.Now())).AnErr("cause", err).Msg("dispatch: attempt failed")
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -98,7 +98,7 @@
 		return di.refuse(re, err)
 	}
 	di.Budget.Arrived(ta.service.Name)
-	if ta.route.Repeat == routing.Streaming {
+	if ta.route.RetryClass == routing.Streaming {
 		return di.serveStream(ctx, ta)
 	}
 	return di.serveBuffered(ctx, ta)
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -187,15 +187,15 @@
 func (ha *harness) configure(version int64, keys ...string) {
 	shares := []routing.Share{{Service: "s", Weight: 1}}
 	const timeout = 2 * time.Second
-	engine := &routing.Engine{Slots: 4, MemoryTokens: 10_000, Migrates: true, Standbys: true, TokensPerEvent: 4}
+	engine := &routing.Engine{Slots: 4, MemoryTokens: 10_000, Migrates: true, KeepsStandbyCopies: true, TokensPerEvent: 4}
 	ha.State.Put(routing.New(routing.Spec{
 		Version: version,
 		Routes: []routing.Route{
-			{Host: "h", PathPrefix: "/read/", Repeat: routing.Idempotent, MaxAttempts: 2, Timeout: timeout, Shares: shares},
-			{Host: "h", PathPrefix: "/post/", Repeat: routing.AtMostOnce, MaxAttempts: 2, Timeout: timeout, Shares: shares},
-			{Host: "h", PathPrefix: "/stream/", Repeat: routing.Streaming, MaxAttempts: 1, Timeout: timeout, Shares: shares},
-			{Host: "h", PathPrefix: "/brief/", Repeat: routing.AtMostOnce, MaxAttempts: 1, Timeout: 80 * time.Millisecond, Shares: shares},
-			{Host: "h", PathPrefix: "/public/", Repeat: routing.Idempotent, MaxAttempts: 1, Timeout: timeout, Public: true, Shares: shares},
+			{Host: "h", PathPrefix: "/read/", RetryClass: routing.Idempotent, MaxAttempts: 2, Timeout: timeout, Shares: shares},
+			{Host: "h", PathPrefix: "/post/", RetryClass: routing.AtMostOnce, MaxAttempts: 2, Timeout: timeout, Shares: shares},
+			{Host: "h", PathPrefix: "/stream/", RetryClass: routing.Streaming, MaxAttempts: 1, Timeout: timeout, Shares: shares},
+			{Host: "h", PathPrefix: "/brief/", RetryClass: routing.AtMostOnce, MaxAttempts: 1, Timeout: 80 * time.Millisecond, Shares: shares},
+			{Host: "h", PathPrefix: "/public/", RetryClass: routing.Idempotent, MaxAttempts: 1, Timeout: timeout, Public: true, Shares: shares},
 		},
 		Services: []routing.Service{{Name: "s", Engine: engine}},
 		Limits:   routing.Limits{BodyBytes: 1000},
--- a/internal/dispatch/standby.go
+++ b/internal/dispatch/standby.go
@@ -22,7 +22,7 @@
 // reserves memory there. It returns nil if the service keeps no standby copies,
 // the run is too short to need one, or no engine has enough free memory.
 func (di *Dispatcher) reserveStandby(ta *task, primary roster.Endpoint, dm placement.Demand) *standby {
-	if dm.Engine == nil || !dm.Engine.Standbys || dm.Output < minStandbyTokens {
+	if dm.Engine == nil || !dm.Engine.KeepsStandbyCopies || dm.Output < minStandbyTokens {
 		return nil
 	}
 	en, found := di.Tracker.ChooseStandby(di.Roster.View().Ready(ta.service.Name), dm, primary.ID)
--- a/internal/dispatch/standby_test.go
+++ b/internal/dispatch/standby_test.go
@@ -66,7 +66,7 @@
 		{"the zone of the copy has been evacuated", func(ha *harness, _ *Request) {
 			for _, rp := range ha.replicas {
 				rp.script = func(conn net.Conn, re *http.Request) {
-					ha.Roster.Evacuate([]string{"a"})
+					ha.Roster.SetEvacuatedZones([]string{"a"})
 					events(1, 3, false)(conn, re)
 				}
 			}
--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -214,7 +214,7 @@
 	}
 	var ne net.Error
 	if ki == Lost && errors.As(err, &ne) && ne.Timeout() {
-		ki = Silent
+		ki = TimedOut
 	}
 	return &Error{Op: op, URL: url, Kind: ki, Err: err}
 }
--- a/internal/endpoint/doc.go
+++ b/internal/endpoint/doc.go
@@ -18,6 +18,6 @@
 //	}
 //
 // The kind of an error says whether the endpoint may have started the work.
-// Refused and Unreachable mean that it has not. Lost and Silent mean that this is
-// unknown.
+// Refused and Unreachable mean that it has not. Lost and TimedOut mean that
+// this is unknown.
 package endpoint
--- a/internal/endpoint/error.go
+++ b/internal/endpoint/error.go
@@ -17,17 +17,17 @@
 	// Lost means that the request may have been sent, but no complete response
 	// was received.
 	Lost ErrorKind = "lost"
-	// Silent means that no response arrived within the timeout of the request, or
-	// that a stream made no progress within the idle timeout.
-	Silent ErrorKind = "silent"
+	// TimedOut means that no response arrived within the timeout of the request,
+	// or that a stream made no progress within the idle timeout.
+	TimedOut ErrorKind = "silent"
 	// Gone means that the endpoint does not know the generation.
 	Gone ErrorKind = "gone"
 	// Failed means that the endpoint ran the request and failed, or that its
 	// response is invalid, for example a line of more than streamBufferBytes.
 	Failed ErrorKind = "failed"
-	// Crossed means that an event belongs to another generation or does not have
-	// the expected offset.
-	Crossed ErrorKind = "crossed"
+	// Mismatched means that an event belongs to another generation or does not
+	// have the expected offset.
+	Mismatched ErrorKind = "crossed"
 	// Fenced means that an order carried an outdated fencing token.
 	Fenced ErrorKind = "fenced"
 )
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -61,10 +61,10 @@
 )
 
 // Next reads the next event. The last event has Done set, and after it Next
-// returns io.EOF. An error of kind Lost or Silent means that the stream ended
-// before the last event, one of kind Crossed that an event belongs to another
-// generation or has the wrong offset, and one of kind Failed that a line is longer
-// than streamBufferBytes.
+// returns io.EOF. An error of kind Lost or TimedOut means that the stream
+// ended before the last event, one of kind Mismatched that an event belongs to
+// another generation or has the wrong offset, and one of kind Failed that a
+// line is longer than streamBufferBytes.
 func (st *Stream) Next(ev *Event) error {
 	if st.done {
 		return io.EOF
@@ -120,7 +120,7 @@
 }
 
 func (st *Stream) mismatch(detail string) error {
-	return &Error{Op: "stream", URL: st.url, Kind: Crossed, Err: errors.New(detail)}
+	return &Error{Op: "stream", URL: st.url, Kind: Mismatched, Err: errors.New(detail)}
 }
 
 func (st *Stream) readError(err error) error {
@@ -128,7 +128,7 @@
 	var ne net.Error
 	switch {
 	case errors.As(err, &ne) && ne.Timeout():
-		ki = Silent
+		ki = TimedOut
 	case errors.Is(err, bufio.ErrBufferFull):
 		ki = Failed
 	}
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -13,7 +13,8 @@
 	// shutdown began, so that load balancers notice that the instance is not
 	// ready.
 	unreadyDelay = 500 * time.Millisecond
-	// drainPollInterval is the interval at which Open is checked during a drain.
+	// drainPollInterval is the interval at which OpenRequests is checked during a
+	// drain.
 	drainPollInterval = 20 * time.Millisecond
 	// handOverTimeout is the time for writing the last events of streams that are
 	// handed over, and the refusals of waiting requests.
@@ -43,9 +44,10 @@
 	return handedOver, errors.Join(err, se.server.ShutdownWithContext(last))
 }
 
-// awaitDrained waits until Open returns zero. It returns false if ctx ends first.
+// awaitDrained waits until OpenRequests returns zero. It returns false if ctx
+// ends first.
 func (se *Server) awaitDrained(ctx context.Context) bool {
-	for se.Open() > 0 {
+	for se.OpenRequests() > 0 {
 		select {
 		case <-ctx.Done():
 			return false
@@ -55,9 +57,9 @@
 	return true
 }
 
-// Open returns the number of requests that a handler is serving, plus the number
-// of streams that continue after their handler returned.
-func (se *Server) Open() int {
+// OpenRequests returns the number of requests that a handler is serving, plus
+// the number of streams that continue after their handler returned.
+func (se *Server) OpenRequests() int {
 	count := int(se.activeHandlers.Load())
 	if se.OpenStreams != nil {
 		count += se.OpenStreams()
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -55,11 +55,11 @@
 	Reset(list []Object[T])
 	// Apply applies changes in order.
 	Apply(list []Change[T])
-	// Contact reports that the store answered a call that was sent at boot time
-	// begun. It follows Reset or Apply if the answer led to one.
-	Contact(begun time.Duration)
-	// Trouble reports that a call failed. It is not called for ErrHistoryGone.
-	Trouble(err error)
+	// CallAnswered reports that the store answered a call that was sent at boot
+	// time begun. It follows Reset or Apply if the answer led to one.
+	CallAnswered(begun time.Duration)
+	// CallFailed reports that a call failed. It is not called for ErrHistoryGone.
+	CallFailed(err error)
 }
 
 const (
@@ -78,10 +78,10 @@
 	Boot   boottime.Clock
 	// Wait is how long one call to Watch waits for changes.
 	Wait time.Duration
-	// Gap is the pause after a call that returned changes. Changes that occur in
-	// the meantime come with one call. Zero means no pause.
-	Gap time.Duration
-	Log zerolog.Logger
+	// BatchDelay is the pause after a call that returned changes. Changes that
+	// occur in the meantime come with one call. Zero means no pause.
+	BatchDelay time.Duration
+	Log        zerolog.Logger
 
 	revision int64
 	listed   bool
@@ -123,7 +123,7 @@
 		}
 		fo.revision, fo.listed = revision, true
 		fo.Sink.Reset(list)
-		fo.Sink.Contact(begun)
+		fo.Sink.CallAnswered(begun)
 		return nil
 	}
 	changes, revision, err := fo.Source.Watch(ctx, fo.revision, fo.Wait)
@@ -134,9 +134,9 @@
 	if len(changes) > 0 {
 		fo.Sink.Apply(changes)
 	}
-	fo.Sink.Contact(begun)
-	if len(changes) > 0 && fo.Gap > 0 {
-		pause.For(ctx, fo.Clock, fo.Gap)
+	fo.Sink.CallAnswered(begun)
+	if len(changes) > 0 && fo.BatchDelay > 0 {
+		pause.For(ctx, fo.Clock, fo.BatchDelay)
 	}
 	return nil
 }
@@ -153,7 +153,7 @@
 		fo.Log.Warn().Str("event", "dependency_lost").Str("kind", fo.Kind).Err(err).Msg("feed: call to the store failed; retrying with back-off")
 	}
 	fo.failures++
-	fo.Sink.Trouble(err)
+	fo.Sink.CallFailed(err)
 }
 
 func (fo *Follower[T]) backoff(ctx context.Context) {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -85,13 +85,13 @@
 	}
 }
 
-func (si *sink) Contact(time.Duration) {
+func (si *sink) CallAnswered(time.Duration) {
 	si.mu.Lock()
 	defer si.mu.Unlock()
 	si.contacts++
 }
 
-func (si *sink) Trouble(error) { si.add("trouble") }
+func (si *sink) CallFailed(error) { si.add("trouble") }
 
 func (si *sink) events() []string {
 	si.mu.Lock()
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -42,7 +42,7 @@
 	return []controller.Controller{
 		&feed.Follower[roster.Endpoint]{
 			Kind: "endpoints", Source: gw.Adapter.Endpoints, Clock: gw.Clock, Boot: gw.Boot, Log: gw.Log, Wait: endpointsWait,
-			Sink: &endpointSink{Roster: &gw.roster, onAnswer: gw.relay.Contact},
+			Sink: &endpointSink{Roster: &gw.roster, onAnswer: gw.relay.CallAnswered},
 		},
 		&feed.Follower[string]{
 			Kind: "evacuations", Source: gw.Adapter.Evacuations, Clock: gw.Clock, Boot: gw.Boot, Log: gw.Log, Wait: evacuationsWait,
@@ -60,6 +60,6 @@
 	}
 	sink := gw.configurationSink()
 	sink.Reset(list)
-	sink.Contact(start)
+	sink.CallAnswered(start)
 	return nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -148,7 +148,7 @@
 // draining, because it gets no current data from the store.
 func (gw *Gateway) engineStatesStale() bool {
 	age, confirmed := gw.state.Age()
-	return confirmed && (age > staleAfter || gw.roster.Silent() || gw.relaySwitch.Silent())
+	return confirmed && (age > staleAfter || gw.roster.StoreUnresponsive() || gw.relaySwitch.StoreUnresponsive())
 }
 
 // build creates the components of the instance and returns its controllers.
@@ -175,7 +175,7 @@
 	gw.ready = &readiness{state: &gw.state, roster: &gw.roster, maxAges: gw.maxAges}
 	controllers := []controller.Controller{
 		hangups, &gw.ingress, &expirer{gw: gw},
-		&healthcheck.Checker{Engines: engines, Runs: mover.Endpoints, Stale: gw.engineStatesStale, Leave: gw.roster.Leave, Clock: gw.Clock, Log: gw.Log},
+		&healthcheck.Checker{Engines: engines, Runs: mover.Endpoints, StoreStale: gw.engineStatesStale, Leave: gw.roster.Leave, Clock: gw.Clock, Log: gw.Log},
 		&auxiliaryServer{name: "readiness", listener: li.readiness, handler: gw.serveReady},
 	}
 	if li.metrics != nil {
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -78,7 +78,7 @@
 			return nil
 		case <-ti.Chan():
 		}
-		ex.gw.roster.Tick()
+		ex.gw.roster.RemoveExpired()
 		if tick%ticksPerPrune == 0 {
 			ex.gw.pool.Prune()
 			vi := ex.gw.roster.View()
--- a/internal/gateway/registration.go
+++ b/internal/gateway/registration.go
@@ -80,11 +80,11 @@
 	ms.publish()
 }
 
-// Contact implements feed.Sink.
-func (*memberSink) Contact(time.Duration) {}
+// CallAnswered implements feed.Sink.
+func (*memberSink) CallAnswered(time.Duration) {}
 
-// Trouble implements feed.Sink.
-func (*memberSink) Trouble(error) {}
+// CallFailed implements feed.Sink.
+func (*memberSink) CallFailed(error) {}
 
 func (ms *memberSink) set(ob feed.Object[loadshare.Member]) {
 	if ob.Value == nil {
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -34,7 +34,7 @@
 	return []controller.Controller{
 		&registration{registry: gw.Adapter.Registry, self: self, clock: gw.Clock, log: gw.Log},
 		&feed.Follower[loadshare.Member]{
-			Kind: "members", Source: gw.Adapter.Members, Clock: gw.Clock, Boot: gw.Boot, Log: gw.Log, Wait: membersWait, Gap: membersBatchDelay,
+			Kind: "members", Source: gw.Adapter.Members, Clock: gw.Clock, Boot: gw.Boot, Log: gw.Log, Wait: membersWait, BatchDelay: membersBatchDelay,
 			Sink: &memberSink{members: &gw.members},
 		},
 		exchange, peers, gw.suspects,
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Contact implements feed.Sink.
-func (cs *configurationSink) Contact(start time.Duration) { cs.state.Confirm(start) }
+// CallAnswered implements feed.Sink.
+func (cs *configurationSink) CallAnswered(start time.Duration) { cs.state.Confirm(start) }
 
 // endpointSink updates the roster. It also reports answered calls to the relay log,
 // so that other instances learn how old the roster is.
@@ -49,14 +49,14 @@
 	onAnswer func(start time.Duration)
 }
 
-// Contact implements feed.Sink.
-func (es *endpointSink) Contact(start time.Duration) {
-	es.Roster.Contact(start)
+// CallAnswered implements feed.Sink.
+func (es *endpointSink) CallAnswered(start time.Duration) {
+	es.Roster.CallAnswered(start)
 	es.onAnswer(start)
 }
 
-// Trouble implements feed.Sink.
-func (*configurationSink) Trouble(error) {}
+// CallFailed implements feed.Sink.
+func (*configurationSink) CallFailed(error) {}
 
 func (cs *configurationSink) apply(ob feed.Object[routing.Configuration]) {
 	if ob.Name != cs.name {
@@ -101,13 +101,13 @@
 	es.publish()
 }
 
-// Contact implements feed.Sink.
-func (*evacuationSink) Contact(time.Duration) {}
+// CallAnswered implements feed.Sink.
+func (*evacuationSink) CallAnswered(time.Duration) {}
 
-// Trouble implements feed.Sink.
-func (*evacuationSink) Trouble(error) {}
+// CallFailed implements feed.Sink.
+func (*evacuationSink) CallFailed(error) {}
 
 func (es *evacuationSink) publish() {
 	zones := slices.Sorted(maps.Keys(es.zones))
-	es.roster.Evacuate(zones)
+	es.roster.SetEvacuatedZones(zones)
 }
--- a/internal/generation/attach.go
+++ b/internal/generation/attach.go
@@ -62,7 +62,7 @@
 	var err error
 	for range maxResumes {
 		err = se.resume()
-		linkFailed := endpoint.IsKind(err, endpoint.Lost) || endpoint.IsKind(err, endpoint.Silent)
+		linkFailed := endpoint.IsKind(err, endpoint.Lost) || endpoint.IsKind(err, endpoint.TimedOut)
 		if err == nil || !linkFailed {
 			break
 		}
--- a/internal/generation/path_test.go
+++ b/internal/generation/path_test.go
@@ -278,7 +278,7 @@
 		seed, err := seedOfToken(ev.Data, 0)
 		Expect(err).NotTo(HaveOccurred())
 		waiting := post(one.url, 5)
-		Eventually(one.server.Open, eventuallyTimeout).Should(Equal(2))
+		Eventually(one.server.OpenRequests, eventuallyTimeout).Should(Equal(2))
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		Expect(one.server.Ready()).To(BeTrue())
--- a/internal/generation/recovery.go
+++ b/internal/generation/recovery.go
@@ -107,7 +107,7 @@
 // move to another one, because then a few more attempts cost little.
 func (se *session) canRejoin(cause error) bool {
 	switch {
-	case endpoint.IsKind(cause, endpoint.Lost), endpoint.IsKind(cause, endpoint.Silent), endpoint.IsKind(cause, endpoint.Crossed):
+	case endpoint.IsKind(cause, endpoint.Lost), endpoint.IsKind(cause, endpoint.TimedOut), endpoint.IsKind(cause, endpoint.Mismatched):
 		return true
 	case endpoint.IsKind(cause, endpoint.Failed), endpoint.IsKind(cause, endpoint.Refused):
 		return se.connected
--- a/internal/healthcheck/checker.go
+++ b/internal/healthcheck/checker.go
@@ -34,8 +34,8 @@
 	// Runs returns the engines that serve runs of this instance. A run is one
 	// stream at an engine.
 	Runs func() []roster.Endpoint
-	// Stale reports whether the view of the store is stale.
-	Stale func() bool
+	// StoreStale reports whether the view of the store is stale.
+	StoreStale func() bool
 	// Leave is called with the ID of an engine that is about to shut down.
 	Leave func(id string)
 	Clock clockwork.Clock
@@ -64,7 +64,7 @@
 // probeAll probes each engine once if the view of the store is stale. Engines
 // that are known to be leaving are skipped.
 func (ch *Checker) probeAll(ctx context.Context) {
-	stale := ch.Stale()
+	stale := ch.StoreStale()
 	if stale != ch.probing {
 		ch.probing = stale
 		ch.Log.Info().Str("event", "engines_asked").Bool("asking", stale).Msg("healthcheck: engines are probed only while the view of the store is stale")
--- a/internal/healthcheck/checker_test.go
+++ b/internal/healthcheck/checker_test.go
@@ -53,7 +53,7 @@
 			var mu sync.Mutex
 			var marked []string
 			ch := &Checker{
-				Engines: fe, Stale: func() bool { return ca.stale }, Clock: clockwork.NewFakeClock(), Log: zerolog.Nop(),
+				Engines: fe, StoreStale: func() bool { return ca.stale }, Clock: clockwork.NewFakeClock(), Log: zerolog.Nop(),
 				Runs: func() []roster.Endpoint {
 					return []roster.Endpoint{{ID: "e1"}, {ID: "e2"}, {ID: "known", Leaving: true}}
 				},
@@ -76,7 +76,7 @@
 	var rounds atomic.Int64
 	ch := &Checker{
 		Engines: &fakeEngines{}, Clock: clock, Log: zerolog.Nop(), Runs: func() []roster.Endpoint { return nil },
-		Stale: func() bool { rounds.Add(1); return false },
+		StoreStale: func() bool { rounds.Add(1); return false },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
--- a/internal/healthcheck/doc.go
+++ b/internal/healthcheck/doc.go
@@ -9,6 +9,6 @@
 //
 // # Usage
 //
-//	ch := &healthcheck.Checker{Engines: engines, Runs: mover.Endpoints, Stale: stale, Leave: ro.Leave, Clock: clock, Log: log}
+//	ch := &healthcheck.Checker{Engines: engines, Runs: mover.Endpoints, StoreStale: stale, Leave: ro.Leave, Clock: clock, Log: log}
 //	err := ch.Run(ctx) // a controller.Controller
 package healthcheck
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -93,8 +93,8 @@
 	st := &routing.State{Clock: boot}
 	shares := []routing.Share{{Service: "s", Weight: 1}}
 	st.Put(routing.New(routing.Spec{Version: 1, Services: []routing.Service{{Name: "s"}}, Routes: []routing.Route{
-		{Host: "h", PathPrefix: "/stream/", Repeat: routing.Streaming, MaxAttempts: 1, Timeout: 5 * time.Second, Shares: shares},
-		{Host: "h", PathPrefix: "/", Repeat: routing.AtMostOnce, MaxAttempts: 1, Timeout: 5 * time.Second, Shares: shares},
+		{Host: "h", PathPrefix: "/stream/", RetryClass: routing.Streaming, MaxAttempts: 1, Timeout: 5 * time.Second, Shares: shares},
+		{Host: "h", PathPrefix: "/", RetryClass: routing.AtMostOnce, MaxAttempts: 1, Timeout: 5 * time.Second, Shares: shares},
 	}}))
 	st.Confirm(boot.Now())
 	ro := &roster.Roster{Clock: clock, Log: zerolog.Nop()}
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -90,7 +90,7 @@
 	defer lo.mu.Unlock()
 	before := lo.sequence
 	lo.compare(vi.All())
-	storeUnresponsive := lo.Roster.Silent()
+	storeUnresponsive := lo.Roster.StoreUnresponsive()
 	if zones := vi.Evacuated(); version != lo.version || storeUnresponsive != lo.storeUnresponsive || !slices.Equal(zones, lo.zones) {
 		lo.zones, lo.version, lo.storeUnresponsive = zones, version, storeUnresponsive
 		lo.appendChange("")
@@ -135,9 +135,9 @@
 	lo.direct = direct
 }
 
-// Contact records that the store answered a call about endpoints that was sent
-// at boot time begun.
-func (lo *Log) Contact(begun time.Duration) {
+// CallAnswered records that the store answered a call about endpoints that was
+// sent at boot time begun.
+func (lo *Log) CallAnswered(begun time.Duration) {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	lo.lastAnswer = max(lo.lastAnswer, begun)
--- a/internal/relay/switch.go
+++ b/internal/relay/switch.go
@@ -79,9 +79,9 @@
 	readerStoreUnresponsive atomic.Bool
 }
 
-// Silent reports whether the reader that this instance follows gets no answers
-// from the store.
-func (sw *Switch) Silent() bool { return sw.readerStoreUnresponsive.Load() }
+// StoreUnresponsive reports whether the reader that this instance follows gets
+// no answers from the store.
+func (sw *Switch) StoreUnresponsive() bool { return sw.readerStoreUnresponsive.Load() }
 
 // Name implements controller.Controller.
 func (sw *Switch) Name() string { return "relay" }
@@ -290,7 +290,7 @@
 		}
 		sw.Roster.Apply(changes)
 	}
-	sw.Roster.Evacuate(up.Zones)
+	sw.Roster.SetEvacuatedZones(up.Zones)
 }
 
 // confirm applies the reader's confirmation, once this instance has the version
--- a/internal/roster/doc.go
+++ b/internal/roster/doc.go
@@ -3,9 +3,9 @@
 // have evacuated.
 //
 // It holds state only and makes no calls. Changes in the store come in through
-// Reset, Apply, Trouble and Contact; View returns what requests may use. An
-// endpoint leaves as soon as any source says so: its own entry, the removal of
-// the entry, or the endpoint's answers.
+// Reset, Apply, CallFailed and CallAnswered; View returns what requests may
+// use. An endpoint leaves as soon as any source says so: its own entry, the
+// removal of the entry, or the endpoint's answers.
 //
 // Entries expire while the store is unavailable, whether or not their
 // endpoints still run. Entries that are missing when the store recovers are
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -114,25 +114,25 @@
 	})
 }
 
-// Contact implements feed.Sink.
-func (ro *Roster) Contact(time.Duration) {
+// CallAnswered implements feed.Sink.
+func (ro *Roster) CallAnswered(time.Duration) {
 	ro.update(func(now time.Time) []Endpoint {
 		ro.storeUnresponsive = false
 		return ro.removeExpired(now)
 	})
 }
 
-// Trouble implements feed.Sink.
-func (ro *Roster) Trouble(error) {
+// CallFailed implements feed.Sink.
+func (ro *Roster) CallFailed(error) {
 	ro.update(func(now time.Time) []Endpoint {
 		ro.storeLost, ro.storeUnresponsive = true, true
 		return ro.removeExpired(now)
 	})
 }
 
-// Tick removes endpoints whose grace period is over. The caller calls it
-// periodically.
-func (ro *Roster) Tick() {
+// RemoveExpired removes endpoints whose grace period is over. The caller calls
+// it periodically.
+func (ro *Roster) RemoveExpired() {
 	ro.mu.Lock()
 	idle := len(ro.retained) == 0
 	ro.mu.Unlock()
@@ -141,8 +141,9 @@
 	}
 }
 
-// Silent reports whether the store has not answered since its last failed call.
-func (ro *Roster) Silent() bool {
+// StoreUnresponsive reports whether the store has not answered since its last
+// failed call.
+func (ro *Roster) StoreUnresponsive() bool {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	return ro.storeUnresponsive
@@ -161,9 +162,9 @@
 	})
 }
 
-// Evacuate replaces the set of zones whose endpoints get no new requests. The
-// zones are sorted.
-func (ro *Roster) Evacuate(zones []string) {
+// SetEvacuatedZones replaces the set of zones whose endpoints get no new
+// requests. The zones are sorted.
+func (ro *Roster) SetEvacuatedZones(zones []string) {
 	if slices.Equal(ro.View().Evacuated(), zones) {
 		return
 	}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -110,13 +110,13 @@
 			g := NewWithT(t)
 			fx := newFixture()
 			fx.Reset([]feed.Object[Endpoint]{object("e1")})
-			fx.Trouble(errors.New("no answer"))
+			fx.CallFailed(errors.New("no answer"))
 			fx.clock.Advance(5 * time.Second)
 			g.Expect(fx.ready()).To(Equal([]string{"e1"}), "during the outage")
 			ca.recover(fx)
 			g.Expect(fx.ready()).To(Equal([]string{"e1"}), "retained after the store recovers")
 			fx.clock.Advance(reregisterGracePeriod)
-			fx.Tick()
+			fx.RemoveExpired()
 			g.Expect(fx.ready()).To(BeEmpty(), "an endpoint still missing after the grace period is removed")
 			g.Expect(fx.left).To(Equal([]string{"e1"}))
 		})
@@ -125,12 +125,12 @@
 		g := NewWithT(t)
 		fx := newFixture()
 		fx.Reset([]feed.Object[Endpoint]{object("e1")})
-		fx.Trouble(errors.New("no answer"))
+		fx.CallFailed(errors.New("no answer"))
 		fx.Reset(nil)
 		fx.clock.Advance(time.Second)
 		fx.Apply(put(object("e1")))
 		fx.clock.Advance(reregisterGracePeriod)
-		fx.Tick()
+		fx.RemoveExpired()
 		g.Expect(fx.ready()).To(Equal([]string{"e1"}))
 		g.Expect(fx.left).To(BeEmpty())
 	})
@@ -138,8 +138,8 @@
 		g := NewWithT(t)
 		fx := newFixture()
 		fx.Reset([]feed.Object[Endpoint]{object("e1")})
-		fx.Trouble(errors.New("no answer"))
-		fx.Contact(0)
+		fx.CallFailed(errors.New("no answer"))
+		fx.CallAnswered(0)
 		fx.Apply(put(object("e1")))
 		fx.clock.Advance(reregisterGracePeriod)
 		fx.Apply(removed("e1"))
@@ -151,10 +151,10 @@
 	g := NewWithT(t)
 	fx := newFixture()
 	fx.Reset([]feed.Object[Endpoint]{object("e1"), object("e2", func(en *Endpoint) { en.Zone = "b" })})
-	fx.Evacuate([]string{"a"})
+	fx.SetEvacuatedZones([]string{"a"})
 	g.Expect(fx.ready()).To(Equal([]string{"e2"}))
 	g.Expect(fx.left).To(BeEmpty(), "requests that run in an evacuated zone continue")
-	fx.Evacuate(nil)
+	fx.SetEvacuatedZones(nil)
 	g.Expect(fx.ready()).To(Equal([]string{"e1", "e2"}))
 }
 
@@ -175,25 +175,25 @@
 	for _, en := range []*Endpoint{&ready, &leaving, &evacuated} {
 		ro.Apply([]feed.Change[Endpoint]{{Object: feed.Object[Endpoint]{Name: en.ID, Value: en}}})
 	}
-	ro.Evacuate([]string{"b"})
+	ro.SetEvacuatedZones([]string{"b"})
 	for id, want := range map[string]bool{"ready": true, "leaving": false, "evacuated": false, "unknown": false} {
 		_, usable := ro.View().Usable(id)
 		g.Expect(usable).To(Equal(want), id)
 	}
 }
 
-// Silent reports true from a failed call until the store's next answer, even if
-// that answer contains no changes.
+// StoreUnresponsive reports true from a failed call until the store's next
+// answer, even if that answer contains no changes.
 func TestSilentStore(t *testing.T) {
 	g := NewWithT(t)
 	ro := &Roster{Clock: clockwork.NewFakeClock(), Log: zerolog.Nop()}
-	g.Expect(ro.Silent()).To(BeFalse())
+	g.Expect(ro.StoreUnresponsive()).To(BeFalse())
 	for _, answer := range []func(){
-		func() { ro.Contact(0) }, func() { ro.Apply(nil) }, func() { ro.Reset(nil) },
+		func() { ro.CallAnswered(0) }, func() { ro.Apply(nil) }, func() { ro.Reset(nil) },
 	} {
-		ro.Trouble(errors.New("down"))
-		g.Expect(ro.Silent()).To(BeTrue())
+		ro.CallFailed(errors.New("down"))
+		g.Expect(ro.StoreUnresponsive()).To(BeTrue())
 		answer()
-		g.Expect(ro.Silent()).To(BeFalse())
+		g.Expect(ro.StoreUnresponsive()).To(BeFalse())
 	}
 }
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Repeat is the retry class of a route: whether its requests may run more than
-// once, and whether event streams answer them.
-type Repeat int
+// RetryClass is the retry class of a route: whether its requests may run more
+// than once, and whether event streams answer them.
+type RetryClass int
 
 // The retry classes of routes.
 const (
 	// Idempotent requests may run more than once.
-	Idempotent Repeat = iota + 1
+	Idempotent RetryClass = iota + 1
 	// AtMostOnce requests must not run more than once.
 	AtMostOnce
 	// Streaming requests must not run more than once and are answered by an
@@ -18,8 +18,8 @@
 )
 
 // String implements fmt.Stringer.
-func (re Repeat) String() string {
-	switch re {
+func (rc RetryClass) String() string {
+	switch rc {
 	case Idempotent:
 		return "idempotent"
 	case AtMostOnce:
@@ -45,7 +45,7 @@
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
-	Repeat     Repeat
+	RetryClass RetryClass
 	// Timeout bounds the time from the arrival of a request to its last byte.
 	Timeout time.Duration
 	// Objective is the target time to the response, or to the first event of a
@@ -76,9 +76,9 @@
 	LinkBits float64
 	// Migrates reports whether running generations can migrate between engines.
 	Migrates bool
-	// Standbys reports whether engines keep standby copies of running generations
-	// on other engines.
-	Standbys bool
+	// KeepsStandbyCopies reports whether engines keep standby copies of running
+	// generations on other engines.
+	KeepsStandbyCopies bool
 	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 	// HandleTimeout is how long an unused KV-cache copy is kept.
--- a/internal/trace/loss.go
+++ b/internal/trace/loss.go
@@ -71,10 +71,10 @@
 	starts        map[string][]int64     // start times, by instance
 }
 
-// Losses reads the logs of instances and counts the endings of the generations that
-// were placed on engines. The logs may be in any order. The most frequent ending
-// comes first.
-func Losses(logs io.Reader) ([]Row, error) {
+// CountEndings reads the logs of instances and counts the endings of the
+// generations that were placed on engines. The logs may be in any order. The
+// most frequent ending comes first.
+func CountEndings(logs io.Reader) ([]Row, error) {
 	ec := &endingCounter{
 		generations: make(map[string]*generation), departures: make(map[string]int64), endpointZones: make(map[string]string),
 		instanceZones: make(map[string]string), starts: make(map[string][]int64),
--- a/internal/trace/loss_test.go
+++ b/internal/trace/loss_test.go
@@ -37,7 +37,7 @@
 
 func TestLosses(t *testing.T) {
 	g := NewWithT(t)
-	rows, err := Losses(strings.NewReader(lossLogs))
+	rows, err := CountEndings(strings.NewReader(lossLogs))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(rows).To(Equal([]Row{
 		{Ending: EndingEngineLost, Count: 2, Example: "lost"},
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -8,9 +8,10 @@
 //	for _, li := range tr.Lines { fmt.Println(li) }
 //	fmt.Println(tr.Cause())
 //
-// Losses counts how all generations ended, which shows what to investigate:
+// CountEndings counts how all generations ended, which shows what to
+// investigate:
 //
-//	rows, err := trace.Losses(file)
+//	rows, err := trace.CountEndings(file)
 package trace
 
 import (
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -16,9 +16,9 @@
 	// Lost means that the request may have been sent and no complete answer was
 	// received.
 	Lost ErrorKind = "lost"
-	// Garbled means that the answer does not carry the ID of the request. The
+	// Mismatched means that the answer does not carry the ID of the request. The
 	// request may have run.
-	Garbled ErrorKind = "garbled"
+	Mismatched ErrorKind = "garbled"
 	// Canceled means that the context ended before the head of the answer was
 	// read.
 	Canceled ErrorKind = "canceled"
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -101,7 +101,7 @@
 			return nil, err
 		}
 	}
-	return nil, &Error{Op: "exchange", Address: ca.Address, Kind: Garbled, Err: errors.New("the answer belongs to another request")}
+	return nil, &Error{Op: "exchange", Address: ca.Address, Kind: Mismatched, Err: errors.New("the answer belongs to another request")}
 }
 
 // idleLimitOf returns how long a connection may stay idle, given the value of a
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -109,8 +109,8 @@
 		{"no content", "HTTP/1.1 204 No Content\r\nId: 1\r\n\r\n", "", false, "", true},
 		{"bytes that are not HTTP", "\x00\x01garbage\r\n\r\n", Lost, false, "", false},
 		{"nothing", "", Lost, false, "", false},
-		{"an answer to another request", okResponse("2"), Garbled, false, "", false},
-		{"an answer without an id", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Garbled, false, "", false},
+		{"an answer to another request", okResponse("2"), Mismatched, false, "", false},
+		{"an answer without an id", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Mismatched, false, "", false},
 	} {
 		t.Run(ca.name, func(t *testing.T) {
 			g := NewWithT(t)
