--- a/internal/allocation/run.go
+++ b/internal/allocation/run.go
@@ -159,7 +159,7 @@
 	if !held && !gt.mayTake(gr) {
 		return
 	}
-	if err := le.Act(ctx); err != nil {
+	if err := le.TakeOrRenew(ctx); err != nil {
 		gt.Log.Warn().Err(err).Msg("allocation: taking or renewing a lease failed; trying again at the next interval")
 	}
 	epoch, held := le.Held()
--- a/internal/call/fleet_test.go
+++ b/internal/call/fleet_test.go
@@ -282,8 +282,8 @@
 	name := "entry-" + strconv.Itoa(len(fl.instances))
 	in.handler = &call.Handler{
 		Granter: &admission.LocalGranter{Configuration: &in.holder}, Sender: sender{in: in, endpoints: fl.endpoints},
-		Book:  &record.Book{Store: guard.For(platform.ClassRecord), Instance: name, Clock: clock, Log: zerolog.Nop()},
-		Clock: clock, Log: zerolog.Nop(),
+		Recorder: &record.Recorder{Store: guard.For(platform.ClassRecord), Instance: name, Clock: clock, Log: zerolog.Nop()},
+		Clock:    clock, Log: zerolog.Nop(),
 	}
 	fl.instances = append(fl.instances, in)
 	return in
--- a/internal/call/forwarding_test.go
+++ b/internal/call/forwarding_test.go
@@ -80,7 +80,7 @@
 		clock := clockwork.NewRealClock()
 		in.handler = &call.Handler{
 			Granter: &admission.LocalGranter{Configuration: &in.holder}, Sender: &endpoint.Client{}, Clock: clock, Log: zerolog.Nop(),
-			Book: &record.Book{Store: platformfake.New(), Instance: "entry", Clock: clock, Log: zerolog.Nop()},
+			Recorder: &record.Recorder{Store: platformfake.New(), Instance: "entry", Clock: clock, Log: zerolog.Nop()},
 		}
 	})
 
--- a/internal/call/handler.go
+++ b/internal/call/handler.go
@@ -7,7 +7,7 @@
 //
 // # Usage
 //
-//	ha := &call.Handler{Granter: granter, Sender: client, Book: book, Clock: clock}
+//	ha := &call.Handler{Granter: granter, Sender: client, Recorder: recorder, Clock: clock}
 //	chain := filter.Chain(ha.Serve, filters...) // ANY /services/{service}/{path}
 package call
 
@@ -48,10 +48,10 @@
 type Handler struct {
 	Granter admission.Granter
 	Sender  Sender
-	// Book records the calls that have an Idempotency-Key.
-	Book  *record.Book
-	Clock clockwork.Clock
-	Log   zerolog.Logger
+	// Recorder records the calls that have an Idempotency-Key.
+	Recorder *record.Recorder
+	Clock    clockwork.Clock
+	Log      zerolog.Logger
 	// Scope receives the metrics. If it is nil, no metrics are reported.
 	Scope tally.Scope
 	// Retries is the retry policy of idempotent calls. If it is nil, the handler
--- a/internal/call/keyed.go
+++ b/internal/call/keyed.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return kc.withoutPlace(err)
 	}
-	cl, err := kc.ha.Book.Begin(kc.ex.Context, kc.id, kc.digest, kc.ex.Deadline)
+	cl, err := kc.ha.Recorder.Begin(kc.ex.Context, kc.id, kc.digest, kc.ex.Deadline)
 	if err != nil {
 		kc.ha.releaseUnused(gr)
 		return an, false, refusal.Wrap(refusal.NoRecord, "the call could not be recorded, so it was not sent", err)
@@ -74,7 +74,7 @@
 // recorded call is still answered from the record, and any other call is refused
 // with cause.
 func (kc *keyedCall) withoutPlace(cause error) (endpoint.Response, bool, error) {
-	cl, err := kc.ha.Book.Find(kc.ex.Context, kc.id)
+	cl, err := kc.ha.Recorder.Find(kc.ex.Context, kc.id)
 	if err != nil || !cl.Found {
 		return endpoint.Response{}, false, cause
 	}
@@ -87,16 +87,16 @@
 	an, sent, err := kc.ha.sendOnce(kc.outgoingCall, gr, func() error { return kc.checkDispatch(cl) })
 	if !sent {
 		kc.ha.count(withdrawn)
-		kc.ha.Book.Withdraw(cl)
+		kc.ha.Recorder.Withdraw(cl)
 		return an, err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	unrecorded := error(nil)
 	if err == nil {
-		unrecorded = kc.ha.Book.Answer(ctx, cl, recordedAnswer(an))
+		unrecorded = kc.ha.Recorder.Answer(ctx, cl, recordedAnswer(an))
 	} else {
-		unrecorded = kc.ha.Book.MarkLost(ctx, cl)
+		unrecorded = kc.ha.Recorder.MarkLost(ctx, cl)
 	}
 	if unrecorded != nil {
 		// The caller still gets the outcome. A resend waits until the outcome is
@@ -114,7 +114,7 @@
 	if err := kc.ha.checkDeadline(kc.outgoingCall); err != nil {
 		return err
 	}
-	if err := kc.ha.Book.Confirm(kc.ex.Context, cl); err != nil {
+	if err := kc.ha.Recorder.Confirm(kc.ex.Context, cl); err != nil {
 		return refusal.Wrap(refusal.NoRecord, "the record of the call no longer stands, so it was not sent", err)
 	}
 	return kc.ha.checkDeadline(kc.outgoingCall)
@@ -131,7 +131,7 @@
 		kc.ha.count(resendWaited)
 		ctx, cancel := context.WithDeadline(kc.ex.Context, kc.ex.Deadline.Add(-awaitMargin))
 		defer cancel()
-		cl = kc.ha.Book.Await(ctx, cl)
+		cl = kc.ha.Recorder.Await(ctx, cl)
 	}
 	if !cl.Found {
 		return an, true, nil
--- a/internal/call/pause_test.go
+++ b/internal/call/pause_test.go
@@ -23,7 +23,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(settleTime)
 		fl := newFleet(2)
-		empty := fl.store.Copy()
+		empty := fl.store.Snapshot()
 		fl.instances[0].pauseAt, fl.instances[0].pauseFor = afterFirstUpdate, 5*time.Second
 		first := make(chan observation)
 		go func() { first <- fl.instances[0].post("a0", "k", "loan", time.Minute) }()
@@ -51,13 +51,13 @@
 		defer time.Sleep(settleTime)
 		fl := newFleet(2)
 		in := fl.instances[0]
-		in.link.SetFault(platformfake.LoseAnswers)
+		in.link.SetFault(platformfake.LoseResponses)
 		time.AfterFunc(4*messageDelay, func() { in.link.SetFault(platformfake.Down) })
 		ob := in.post("a0", "k", "loan", 10*time.Second)
 		if ob.refused == nil || ob.refused.Rule().Outcome != refusal.NotRun {
 			t.Fatalf("without a record the call got %+v", ob)
 		}
-		if len(fl.store.Copy()) == 0 {
+		if len(fl.store.Snapshot()) == 0 {
 			t.Fatal("the entry was not written, so the test does not cover its case")
 		}
 		in.link.SetFault(platformfake.None)
--- a/internal/call/schedule_test.go
+++ b/internal/call/schedule_test.go
@@ -100,9 +100,9 @@
 	case platformDown:
 		in.link.SetFault(platformfake.Down)
 	case platformLosesAnswers:
-		in.link.SetFault(platformfake.LoseAnswers)
+		in.link.SetFault(platformfake.LoseResponses)
 	case platformLosesSome:
-		in.link.SetFault(platformfake.LoseSome)
+		in.link.SetFault(platformfake.LoseRandomly)
 	case platformSlow:
 		in.link.SetDelay(1200 * time.Millisecond)
 		in.link.SetFault(platformfake.Slow)
--- a/internal/command/page_test.go
+++ b/internal/command/page_test.go
@@ -94,7 +94,7 @@
 		},
 	}
 	co.Build()
-	co.Count(&admission.LocalGranter{Configuration: holder})
+	co.CountGrants(&admission.LocalGranter{Configuration: holder})
 	ne.Listen(self.Peer, self.Zone, co.Services())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -90,7 +90,7 @@
 	if cf.Output == "json" {
 		return errors.Join(cf.printJSON(co.PlanAnswer), co)
 	}
-	cf.printChanges("Changed since the plan was made:", co.Plan.Since)
+	cf.printChanges("Changed since the plan was made:", co.Plan.ChangesSinceBase)
 	return co
 }
 
@@ -99,7 +99,7 @@
 func (cf *confirm) waitForPlan(pl plan.Plan) (plan.Plan, error) {
 	until := time.Now().Add(cf.Wait)
 	shown := ""
-	for !pl.State.Over() {
+	for !pl.State.Terminal() {
 		if line := progress(pl); line != shown && cf.Output != "json" {
 			cf.printf("%s\n", line)
 			shown = line
--- a/internal/command/print.go
+++ b/internal/command/print.go
@@ -27,7 +27,7 @@
 }
 
 func (ou output) printPlan(pl plan.Plan) {
-	ou.printf("Plan %s, %s, on configuration version %d\n", pl.ID, pl.State, pl.Ground.Version)
+	ou.printf("Plan %s, %s, on configuration version %d\n", pl.ID, pl.State, pl.Base.Version)
 	if pl.Reason != "" {
 		ou.printf("Reason: %s\n", pl.Reason)
 	}
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -48,8 +48,8 @@
 		return st.printJSON(fs)
 	}
 	st.printf("Configuration: %s\nPlatform: %s (as %s sees it)\n", fs.InForce, fs.Platform, fs.Instance)
-	if len(fs.CutOff) > 0 {
-		st.printf("Cut off from %s in zone %s: %s\n", fs.Instance, fs.Zone, strings.Join(fs.CutOff, ", "))
+	if len(fs.IsolatedZones) > 0 {
+		st.printf("Cut off from %s in zone %s: %s\n", fs.Instance, fs.Zone, strings.Join(fs.IsolatedZones, ", "))
 	}
 	st.printf("\n")
 	rows := make([][]string, 0, len(fs.Members))
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	biggest, total := 0, 0
-	for _, ob := range store.Copy() {
+	for _, ob := range store.Snapshot() {
 		biggest, total = max(biggest, len(ob.Value)), total+len(ob.Value)
 	}
 	t.Logf("1200 endpoints and 290 teams: %d bytes, the largest object has %d", total, biggest)
@@ -148,7 +148,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx, store := context.Background(), platformfake.New()
 		if rapid.Bool().Draw(rt, "lost") {
-			store.SetFault(platformfake.LoseAnswers)
+			store.SetFault(platformfake.LoseResponses)
 		}
 		first := bundle(rt, 1, 1)
 		headObjectVersion, err := configuration.PublishBundle(ctx, store, 0, first, nil)
@@ -165,7 +165,7 @@
 			}
 			if err == nil {
 				winner = ix
-			} else if !configuration.IsKind(err, configuration.Moved) {
+			} else if !configuration.IsKind(err, configuration.Conflict) {
 				rt.Fatal(err)
 			}
 		}
--- a/internal/configuration/distribution.go
+++ b/internal/configuration/distribution.go
@@ -44,8 +44,8 @@
 type Peers interface {
 	// ZonePeers returns the other instances of the own zone.
 	ZonePeers() []Peer
-	// FarPeers returns a few instances of each other zone.
-	FarPeers() []Peer
+	// RemoteZonePeers returns a few instances of each other zone.
+	RemoteZonePeers() []Peer
 }
 
 // Notice announces the version in force at the sender. Zone and Address are
@@ -70,10 +70,10 @@
 	Shards map[string][]byte
 }
 
-// Spreader is the controller that distributes the configuration between
+// Distributor is the controller that distributes the configuration between
 // instances: it announces new versions and fetches those announced by others.
 // Set the fields before Run.
-type Spreader struct {
+type Distributor struct {
 	State  *State
 	Peers  Peers
 	Caller peer.Caller
@@ -93,21 +93,21 @@
 }
 
 // Name implements controller.Controller.
-func (sp *Spreader) Name() string { return "spread" }
+func (di *Distributor) Name() string { return "spread" }
 
 // Run announces each new version to other instances until ctx ends. An instance
 // that received the version from outside its zone notifies its zone. One that
 // read it from the platform also notifies a few instances of each other zone.
-func (sp *Spreader) Run(ctx context.Context) error {
-	sp.mu.Lock()
-	sp.ctx = ctx
-	sp.mu.Unlock()
+func (di *Distributor) Run(ctx context.Context) error {
+	di.mu.Lock()
+	di.ctx = ctx
+	di.mu.Unlock()
 	var announced int64
 	for ctx.Err() == nil {
-		changed, source := sp.State.Changed()
-		if version := sp.State.Version(); version > announced {
+		changed, source := di.State.Changed()
+		if version := di.State.Version(); version > announced {
 			announced = version
-			sp.announce(ctx, version, source)
+			di.announce(ctx, version, source)
 			continue
 		}
 		select {
@@ -118,81 +118,81 @@
 	return nil
 }
 
-func (sp *Spreader) announce(ctx context.Context, version int64, source Source) {
+func (di *Distributor) announce(ctx context.Context, version int64, source Source) {
 	var recipients []Peer
 	if source != FromZone {
-		recipients = sp.Peers.ZonePeers()
+		recipients = di.Peers.ZonePeers()
 	}
 	if source == FromPlatform {
-		recipients = append(recipients, sp.Peers.FarPeers()...)
+		recipients = append(recipients, di.Peers.RemoteZonePeers()...)
 	}
-	no := Notice{Version: version, Zone: sp.Zone, Address: sp.Address}
+	no := Notice{Version: version, Zone: di.Zone, Address: di.Address}
 	for _, pe := range recipients {
-		go sp.notify(ctx, pe, no)
+		go di.notify(ctx, pe, no)
 	}
 }
 
 // notify sends a notice until it is acknowledged, a newer version is in force,
 // or all attempts have failed. In the last case the peer learns of the version
 // from the next membership digest.
-func (sp *Spreader) notify(ctx context.Context, pe Peer, no Notice) {
+func (di *Distributor) notify(ctx context.Context, pe Peer, no Notice) {
 	for range noticeAttempts {
 		var ok bool
-		if sp.call(ctx, noticeTimeout, pe.Address, "Notify", no, &ok) == nil {
+		if di.call(ctx, noticeTimeout, pe.Address, "Notify", no, &ok) == nil {
 			return
 		}
-		sp.State.count(NoticeUnanswered)
-		if ctx.Err() != nil || sp.State.Version() > no.Version {
+		di.State.count(NoticeUnanswered)
+		if ctx.Err() != nil || di.State.Version() > no.Version {
 			return
 		}
 	}
 }
 
-func (sp *Spreader) call(ctx context.Context, timeout time.Duration, address, method string, args, reply any) error {
-	ctx, cancel := clockwork.WithTimeout(ctx, sp.Clock, timeout)
+func (di *Distributor) call(ctx context.Context, timeout time.Duration, address, method string, args, reply any) error {
+	ctx, cancel := clockwork.WithTimeout(ctx, di.Clock, timeout)
 	defer cancel()
-	return sp.Caller.Call(ctx, address, ServiceName+"."+method, args, reply)
+	return di.Caller.Call(ctx, address, ServiceName+"."+method, args, reply)
 }
 
-// Seen handles the announcement of a version by another instance. If the
-// version is higher than the one in force, it starts a fetch in the background.
-// If a fetch is already running, a notice of a higher version than the fetched
-// one makes another fetch follow, and each later notice replaces the pending
-// one. Before Run, Seen does nothing.
-func (sp *Spreader) Seen(no Notice) {
-	if no.Version <= sp.State.Version() {
+// HandleNotice handles the announcement of a version by another instance. If
+// the version is higher than the one in force, it starts a fetch in the
+// background. If a fetch is already running, a notice of a higher version than
+// the fetched one makes another fetch follow, and each later notice replaces
+// the pending one. Before Run, HandleNotice does nothing.
+func (di *Distributor) HandleNotice(no Notice) {
+	if no.Version <= di.State.Version() {
 		return
 	}
-	sp.mu.Lock()
-	defer sp.mu.Unlock()
-	if sp.ctx == nil {
+	di.mu.Lock()
+	defer di.mu.Unlock()
+	if di.ctx == nil {
 		return
 	}
-	if sp.fetching {
-		sp.fetchPending = sp.fetchPending || no.Version > sp.targetNotice.Version
-		if sp.fetchPending {
-			sp.targetNotice = no
+	if di.fetching {
+		di.fetchPending = di.fetchPending || no.Version > di.targetNotice.Version
+		if di.fetchPending {
+			di.targetNotice = no
 		}
 		return
 	}
-	sp.fetching, sp.targetNotice, sp.fetchPending = true, no, false
-	go sp.fetchUntilCurrent(sp.ctx, no)
+	di.fetching, di.targetNotice, di.fetchPending = true, no, false
+	go di.fetchUntilCurrent(di.ctx, no)
 }
 
 // fetchUntilCurrent fetches the announced version. As long as a notice is
 // pending after that, it continues with the pending notice.
-func (sp *Spreader) fetchUntilCurrent(ctx context.Context, no Notice) {
+func (di *Distributor) fetchUntilCurrent(ctx context.Context, no Notice) {
 	for {
-		sp.fetchWithRetries(ctx, no)
-		sp.mu.Lock()
-		if !sp.fetchPending {
-			sp.fetching = false
-			sp.mu.Unlock()
+		di.fetchWithRetries(ctx, no)
+		di.mu.Lock()
+		if !di.fetchPending {
+			di.fetching = false
+			di.mu.Unlock()
 			return
 		}
-		sp.fetchPending = false
-		no = sp.targetNotice
-		sp.mu.Unlock()
+		di.fetchPending = false
+		no = di.targetNotice
+		di.mu.Unlock()
 	}
 }
 
@@ -201,34 +201,34 @@
 // If another version comes into force first, the next attempt starts at once. If
 // all attempts fail, the next membership digest of any instance starts a new
 // fetch.
-func (sp *Spreader) fetchWithRetries(ctx context.Context, no Notice) {
+func (di *Distributor) fetchWithRetries(ctx context.Context, no Notice) {
 	for _, timeout := range fetchTimeouts {
-		changed, _ := sp.State.Changed()
-		if ctx.Err() != nil || sp.State.Version() >= no.Version {
+		changed, _ := di.State.Changed()
+		if ctx.Err() != nil || di.State.Version() >= no.Version {
 			return
 		}
 		go func() {
-			if err := sp.fetch(ctx, timeout, no); err != nil {
-				sp.State.count(FetchFailed)
-				sp.Log.Warn().Err(err).Str("peer", no.Address).Msg("configuration: cannot fetch the announced version from the peer")
+			if err := di.fetch(ctx, timeout, no); err != nil {
+				di.State.count(FetchFailed)
+				di.Log.Warn().Err(err).Str("peer", no.Address).Msg("configuration: cannot fetch the announced version from the peer")
 			}
 		}()
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-sp.Clock.After(fetchRetryInterval):
+		case <-di.Clock.After(fetchRetryInterval):
 		}
 	}
 }
 
-func (sp *Spreader) fetch(ctx context.Context, timeout time.Duration, no Notice) error {
-	known := sp.State.Bundle()
+func (di *Distributor) fetch(ctx context.Context, timeout time.Duration, no Notice) error {
+	known := di.State.Bundle()
 	var have []string
 	if known != nil {
 		have = known.Head.Shards
 	}
 	var re FetchReply
-	if err := sp.call(ctx, timeout, no.Address, "Fetch", FetchArgs{Have: have}, &re); err != nil {
+	if err := di.call(ctx, timeout, no.Address, "Fetch", FetchArgs{Have: have}, &re); err != nil {
 		return err
 	}
 	shards := make(map[string][]byte, len(re.Head.Shards))
@@ -242,23 +242,23 @@
 		return err
 	}
 	source := FromOtherZone
-	if no.Zone == sp.Zone {
+	if no.Zone == di.Zone {
 		source = FromZone
 	}
-	sp.State.Apply(bu, source)
+	di.State.Apply(bu, source)
 	return nil
 }
 
 // Service is the RPC service that other instances call.
 type Service struct {
-	State    *State
-	Spreader *Spreader
+	State       *State
+	Distributor *Distributor
 }
 
 // Notify receives the announcement of a version and acknowledges it with true.
 func (se *Service) Notify(no Notice, ok *bool) error {
 	*ok = true
-	se.Spreader.Seen(no)
+	se.Distributor.HandleNotice(no)
 	return nil
 }
 
--- a/internal/configuration/doc.go
+++ b/internal/configuration/doc.go
@@ -8,17 +8,17 @@
 //
 // On each instance a State holds the bundle in force and never goes back to a
 // lower version. On a few instances of each zone, a Watcher reads new versions
-// from the platform. A Spreader notifies other instances of a new version and
-// fetches it from any instance that has a higher one.
+// from the platform. A Distributor notifies other instances of a new version
+// and fetches it from any instance that has a higher one.
 //
 // # Usage
 //
 //	st := &configuration.State{Holder: &holder, Log: log}
 //	wa := &configuration.Watcher{Store: store, State: st, Clock: clock, Log: log}
-//	sp := &configuration.Spreader{State: st, Peers: peers, Caller: client, Clock: clock, Log: log}
-//	if err := server.Register(configuration.ServiceName, &configuration.Service{State: st, Spreader: sp}); err != nil {
+//	di := &configuration.Distributor{State: st, Peers: peers, Caller: client, Clock: clock, Log: log}
+//	if err := server.Register(configuration.ServiceName, &configuration.Service{State: st, Distributor: di}); err != nil {
 //		return err
 //	}
 //	go wa.Run(ctx)
-//	go sp.Run(ctx)
+//	go di.Run(ctx)
 package configuration
--- a/internal/configuration/error.go
+++ b/internal/configuration/error.go
@@ -10,11 +10,11 @@
 
 // The kinds of error that this package reports.
 const (
-	// Moved means that the head has changed since it was read, or that the time
+	// Conflict means that the head has changed since it was read, or that the time
 	// for publishing ended before the head was sent. The head was not written,
 	// unless an earlier attempt of the same call with an unknown outcome took
 	// effect.
-	Moved ErrorKind = "moved"
+	Conflict ErrorKind = "moved"
 	// Damaged means that a head or shard cannot be decoded, or that a shard
 	// does not match the hash it is named by.
 	Damaged ErrorKind = "damaged"
--- a/internal/configuration/head.go
+++ b/internal/configuration/head.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Key is the key of the head in the platform.
-const Key = "configuration/head"
+// HeadKey is the key of the head in the platform.
+const HeadKey = "configuration/head"
 
 // maxFinishedMoves is the maximum number of finished plans that a head records.
 // An instance that continues the plan of another instance learns from the head
@@ -40,9 +40,9 @@
 	return he.Moves[ix], true
 }
 
-// Holder returns the ID of the running plan that has reserved an object, given
-// as "kind/name". It returns an empty string if there is none.
-func (he Head) Holder(object string) string {
+// ReservedBy returns the ID of the running plan that has reserved an object,
+// given as "kind/name". It returns an empty string if there is none.
+func (he Head) ReservedBy(object string) string {
 	for _, mo := range he.Moves {
 		if !mo.Done && slices.Contains(mo.Objects, object) {
 			return mo.Plan
--- a/internal/configuration/publish.go
+++ b/internal/configuration/publish.go
@@ -26,9 +26,9 @@
 
 // Publish writes a complete configuration if previous is the current object
 // version of the head. Zero means that no head exists yet. It returns the new
-// object version. An error of kind Moved means that the head has changed or that
-// the time for publishing ended, and one of kind Unsettled that it is unknown
-// whether the write took effect.
+// object version. An error of kind Conflict means that the head has changed or
+// that the time for publishing ended, and one of kind Unsettled that it is
+// unknown whether the write took effect.
 func Publish(ctx context.Context, store platform.Store, previous int64, cf *kind.Configuration) (int64, error) {
 	bu, err := Pack(cf)
 	if err != nil {
@@ -53,7 +53,7 @@
 		return 0, err
 	}
 	if err := ctx.Err(); err != nil {
-		return 0, &Error{Op: "publish", Kind: Moved, Err: err}
+		return 0, &Error{Op: "publish", Kind: Conflict, Err: err}
 	}
 	return publishHead(ctx, store, previous, data)
 }
@@ -88,19 +88,19 @@
 	var err error
 	for range maxWriteAttempts {
 		var version int64
-		version, err = store.Update(ctx, Key, previous, data)
+		version, err = store.Update(ctx, HeadKey, previous, data)
 		if err == nil {
 			return version, nil
 		}
 		if platform.IsKind(err, platform.Unavailable) || platform.IsKind(err, platform.Rejected) {
 			return 0, err
 		}
-		ob, readErr := store.Get(ctx, Key)
+		ob, readErr := store.Get(ctx, HeadKey)
 		switch {
 		case readErr == nil && bytes.Equal(ob.Value, data):
 			return ob.Version, nil
 		case readErr == nil && ob.Version != previous, platform.IsKind(err, platform.Conflict):
-			return 0, &Error{Op: "publish", Kind: Moved, Err: err}
+			return 0, &Error{Op: "publish", Kind: Conflict, Err: err}
 		case readErr != nil && !platform.IsKind(readErr, platform.NotFound):
 			return 0, &Error{Op: "publish", Kind: Unsettled, Err: readErr}
 		}
@@ -111,7 +111,7 @@
 // Read returns the bundle in the platform and the object version of its head.
 // Shards that known holds are not read again. known may be nil.
 func Read(ctx context.Context, store platform.Store, known *Bundle) (*Bundle, int64, error) {
-	ob, err := store.Get(ctx, Key)
+	ob, err := store.Get(ctx, HeadKey)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/configuration/watcher.go
+++ b/internal/configuration/watcher.go
@@ -92,7 +92,7 @@
 		return err
 	}
 	for _, ob := range li.Objects {
-		if ob.Key == Key && !ob.Deleted {
+		if ob.Key == HeadKey && !ob.Deleted {
 			if err := wa.apply(ctx, ob); err != nil {
 				return err
 			}
@@ -104,15 +104,15 @@
 
 func (wa *Watcher) listOrWatch(ctx context.Context, revision int64) (platform.Listing, error) {
 	if revision == 0 {
-		return wa.Store.List(ctx, Key)
+		return wa.Store.List(ctx, HeadKey)
 	}
-	return wa.Store.Watch(ctx, Key, revision)
+	return wa.Store.Watch(ctx, HeadKey, revision)
 }
 
 // poll reads the head. If its version is lower than the one in force, or if
 // there is no head, poll writes the bundle in force to the platform.
 func (wa *Watcher) poll(ctx context.Context) error {
-	ob, err := wa.Store.Get(ctx, Key)
+	ob, err := wa.Store.Get(ctx, HeadKey)
 	if platform.IsKind(err, platform.NotFound) {
 		return wa.repair(ctx, platform.Object{})
 	}
@@ -153,7 +153,7 @@
 		return nil
 	}
 	_, err := PublishBundle(ctx, wa.Store, old.Version, bu, nil)
-	if IsKind(err, Moved) {
+	if IsKind(err, Conflict) {
 		return nil
 	}
 	if err == nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -40,14 +40,14 @@
 	// Stop starts the graceful shutdown of this instance.
 	Stop func()
 
-	State    *configuration.State
-	Members  *member.Table
-	Plans    *plan.Service
-	watcher  *configuration.Watcher
-	spreader *configuration.Spreader
-	executor *plan.Executor
-	sweeper  *plan.Sweeper
-	counter  *Counter
+	State       *configuration.State
+	Members     *member.Table
+	Plans       *plan.Service
+	watcher     *configuration.Watcher
+	distributor *configuration.Distributor
+	executor    *plan.Executor
+	sweeper     *plan.Sweeper
+	counter     *Counter
 }
 
 // Build creates the controllers and services from the exported fields.
@@ -58,22 +58,22 @@
 	co.State = &configuration.State{Holder: co.Holder, Log: co.Log, Scope: co.Scope}
 	co.Members = &member.Table{
 		Self: co.Self, Store: co.Store, Caller: co.Caller, Clock: co.Clock, Log: co.Log, Scope: co.Scope,
-		Seeds: co.Seeds, Version: co.State.Version, Seen: co.memberSeen,
+		Seeds: co.Seeds, Version: co.State.Version, OnContact: co.memberSeen,
 	}
 	co.watcher = &configuration.Watcher{Store: co.Store, State: co.State, Clock: co.Clock, Log: co.Log, Elected: co.elected}
-	co.spreader = &configuration.Spreader{
+	co.distributor = &configuration.Distributor{
 		State: co.State, Peers: peers{co.Members}, Caller: co.Caller, Clock: co.Clock, Log: co.Log,
 		Zone: co.Self.Zone, Address: co.Self.Peer,
 	}
 	co.counter = &Counter{Configuration: co.Holder}
 	co.Plans = &plan.Service{Store: co.Store, State: co.State, Fleet: co, Clock: co.Clock, Log: co.Log, Scope: co.Scope}
-	co.sweeper = &plan.Sweeper{Service: co.Plans, Elected: func() bool { return co.Members.FirstOfAll("sweep", 1) }}
-	co.executor = &plan.Executor{Service: co.Plans, Self: co.Self.Name, Candidate: co.Members.FirstOfAll}
+	co.sweeper = &plan.Sweeper{Service: co.Plans, Elected: func() bool { return co.Members.IsCandidate("sweep", 1) }}
+	co.executor = &plan.Executor{Service: co.Plans, Self: co.Self.Name, Candidate: co.Members.IsCandidate}
 }
 
 // Controllers returns the controllers that the process must run.
 func (co *Control) Controllers() []controller.Controller {
-	return []controller.Controller{co.watcher, co.spreader, co.Members, co.executor, co.sweeper}
+	return []controller.Controller{co.watcher, co.distributor, co.Members, co.executor, co.sweeper}
 }
 
 // Register registers the services of Services with the peer server.
@@ -90,15 +90,15 @@
 // names.
 func (co *Control) Services() map[string]any {
 	return map[string]any{
-		configuration.ServiceName: &configuration.Service{State: co.State, Spreader: co.spreader},
+		configuration.ServiceName: &configuration.Service{State: co.State, Distributor: co.distributor},
 		member.ServiceName:        &member.Service{Table: co.Members},
 		ServiceName:               &Service{Control: co},
 	}
 }
 
-// Count returns a granter that passes all calls to gr and counts the grants in
-// use by endpoint.
-func (co *Control) Count(gr admission.Granter) admission.Granter {
+// CountGrants returns a granter that passes all calls to gr and counts the
+// grants in use by endpoint.
+func (co *Control) CountGrants(gr admission.Granter) admission.Granter {
 	co.counter.Granter = gr
 	return co.counter
 }
@@ -106,13 +106,13 @@
 // elected reports whether this instance watches the platform. An instance
 // without a configuration always does.
 func (co *Control) elected() bool {
-	return co.State.Version() == 0 || co.Members.First("configuration", watchersPerZone)
+	return co.State.Version() == 0 || co.Members.IsZoneCandidate("configuration", watchersPerZone)
 }
 
 // memberSeen receives the version in force at another member. It lets the
-// spreader pull the configuration from a member that has a higher version.
+// distributor pull the configuration from a member that has a higher version.
 func (co *Control) memberSeen(me member.Member) {
-	co.spreader.Seen(configuration.Notice{Version: me.Version, Zone: me.Zone, Address: me.Peer})
+	co.distributor.HandleNotice(configuration.Notice{Version: me.Version, Zone: me.Zone, Address: me.Peer})
 }
 
 // View implements plan.Fleet.
@@ -121,14 +121,14 @@
 // Settled implements plan.Fleet.
 func (co *Control) Settled() bool { return co.Members.Settled() }
 
-// peers gives the spreader access to the members.
+// peers gives the distributor access to the members.
 type peers struct{ table *member.Table }
 
 // ZonePeers implements configuration.Peers.
 func (pe peers) ZonePeers() []configuration.Peer { return toPeers(pe.table.ZonePeers()) }
 
-// FarPeers implements configuration.Peers.
-func (pe peers) FarPeers() []configuration.Peer { return toPeers(pe.table.FarPeers()) }
+// RemoteZonePeers implements configuration.Peers.
+func (pe peers) RemoteZonePeers() []configuration.Peer { return toPeers(pe.table.RemoteZonePeers()) }
 
 func toPeers(members []member.Member) []configuration.Peer {
 	list := make([]configuration.Peer, 0, len(members))
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -97,9 +97,9 @@
 			pl := makePlan(t, no, weight(2+ix))
 			begin := fl.clock.Now()
 			confirmPlan(t, no, pl)
-			fl.until(time.Minute, time.Millisecond, func() bool { return fl.inForce(pl.Ground.Version + 1) })
+			fl.until(time.Minute, time.Millisecond, func() bool { return fl.inForce(pl.Base.Version + 1) })
 			times = append(times, fl.clock.Since(begin))
-			fl.until(time.Minute, 50*time.Millisecond, func() bool { return no.State.Bundle().Head.Holder("team/analysts") == "" })
+			fl.until(time.Minute, 50*time.Millisecond, func() bool { return no.State.Bundle().Head.ReservedBy("team/analysts") == "" })
 		}
 		slices.Sort(times)
 		co.p50, co.p99 = quantile(times, 0.5), quantile(times, 0.99)
@@ -146,7 +146,7 @@
 			fl := newFleet(t, 7, 20)
 			defer fl.stop()
 			fl.settle()
-			fl.net.Lose(0.33, rand.New(rand.NewPCG(seed, 1)))
+			fl.net.SetLossRate(0.33, rand.New(rand.NewPCG(seed, 1)))
 			for _, no := range fl.nodes[1:] {
 				no.store.SetFault(platformfake.Down)
 			}
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -7,7 +7,7 @@
 //	co := &control.Control{Self: self, Store: store, Caller: client, Holder: &holder, Clock: clock, Log: log, Stop: stop}
 //	co.Build()
 //	err := co.Register(server)           // a peer.Server
-//	granter = co.Count(granter)          // an admission.Granter that counts grants in use
+//	granter = co.CountGrants(granter)    // an admission.Granter that counts grants in use
 //	operators.Routes = co.Routes()
 //	controllers = append(controllers, co.Controllers()...)
 package control
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -78,7 +78,7 @@
 func newFleet(t testing.TB, instances, endpoints int) *fleet {
 	fl := &fleet{t: t, clock: clockwork.NewRealClock(), store: platformfake.New()}
 	fl.net = peerfake.New(fl.clock)
-	fl.net.Near, fl.net.Far = 500*time.Microsecond, time.Millisecond
+	fl.net.IntraZoneDelay, fl.net.InterZoneDelay = 500*time.Microsecond, time.Millisecond
 	cf, err := kind.NewConfiguration(document(endpoints))
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 	}
 	no.Build()
 	no.Plans.NewID = fl.newID
-	no.granter = no.Count(&admission.LocalGranter{Configuration: &no.holder})
+	no.granter = no.CountGrants(&admission.LocalGranter{Configuration: &no.holder})
 	fl.net.Listen(self.Peer, self.Zone, no.Services())
 	fl.nodes = append(fl.nodes, no)
 	fl.list()
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -47,7 +47,7 @@
 	st := hi.fl.store.Connect()
 	var revision int64
 	for ctx.Err() == nil {
-		li, err := st.Watch(ctx, configuration.Key, revision)
+		li, err := st.Watch(ctx, configuration.HeadKey, revision)
 		if err != nil {
 			continue
 		}
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -95,8 +95,8 @@
 	wg.Go(func() { okOne = confirm(ctx, first, one) })
 	wg.Go(func() { okTwo = confirm(ctx, second, two) })
 	wg.Wait()
-	if okOne && okTwo && one.Ground.Version == two.Ground.Version {
-		ma.reportViolation("plans %s and %s with base version %d were both confirmed", one.ID, two.ID, one.Ground.Version)
+	if okOne && okTwo && one.Base.Version == two.Base.Version {
+		ma.reportViolation("plans %s and %s with base version %d were both confirmed", one.ID, two.ID, one.Base.Version)
 	}
 	ma.confirmed[one.ID] = okOne
 	ma.confirmed[two.ID] = okTwo
@@ -115,13 +115,13 @@
 		ma.race(ac.A, ac.B)
 	case "fault":
 		no.store.SetRandom(rand.New(rand.NewPCG(uint64(ac.A), uint64(ac.B))))
-		no.store.SetFault([]platformfake.Fault{platformfake.Down, platformfake.LoseAnswers, platformfake.LoseSome}[ac.B%3])
+		no.store.SetFault([]platformfake.Fault{platformfake.Down, platformfake.LoseResponses, platformfake.LoseRandomly}[ac.B%3])
 	case "outage":
 		for _, it := range nodes {
 			it.store.SetFault(platformfake.Down)
 		}
 	case "cut":
-		ma.net.Cut(zones[ac.A%len(zones)], true)
+		ma.net.SetIsolated(zones[ac.A%len(zones)], true)
 	case "kill":
 		if len(nodes) > 3 {
 			ma.kill(no)
@@ -129,7 +129,7 @@
 	case "start":
 		ma.start()
 	case "backup":
-		ma.backup = ma.store.Copy()
+		ma.backup = ma.store.Snapshot()
 	case "restore":
 		ma.restored = true
 		ma.store.Restore(ma.backup)
@@ -144,7 +144,7 @@
 		no.store.SetFault(platformfake.None)
 	}
 	for _, zone := range zones {
-		ma.net.Cut(zone, false)
+		ma.net.SetIsolated(zone, false)
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 	one, errOne := ma.up()[0].Plans.Get(ma.t.Context(), pair[0])
 	two, errTwo := ma.up()[0].Plans.Get(ma.t.Context(), pair[1])
-	if errOne == nil && errTwo == nil && one.Ground.Version == two.Ground.Version && began > 1 {
+	if errOne == nil && errTwo == nil && one.Base.Version == two.Base.Version && began > 1 {
 		ma.reportViolation("plans %s and %s with the same base version were both applied", pair[0], pair[1])
 	}
 }
@@ -226,7 +226,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			go ma.hi.run(ctx)
 			fl.settle()
-			ma.backup = fl.store.Copy()
+			ma.backup = fl.store.Snapshot()
 			for _, ac := range actions {
 				ma.perform(ac)
 			}
--- a/internal/control/move_test.go
+++ b/internal/control/move_test.go
@@ -104,7 +104,7 @@
 		no := fl.nodes[0]
 		inner := &admission.LocalGranter{Configuration: &no.holder}
 		pl := makePlan(t, no, `{"actions": [{"drain_endpoint": "engine-0"}]}`)
-		late := no.Count(lateGranter{LocalGranter: inner, before: func() {
+		late := no.CountGrants(lateGranter{LocalGranter: inner, before: func() {
 			if no.State.Version() == 1 {
 				confirmPlan(t, no, pl)
 			}
@@ -164,7 +164,7 @@
 		fl := newFleet(t, 7, 8)
 		defer fl.stop()
 		fl.settle()
-		old := fl.store.Copy()
+		old := fl.store.Snapshot()
 		pl := makePlan(t, fl.nodes[0], weight(9))
 		confirmPlan(t, fl.nodes[0], pl)
 		fl.until(time.Minute, 50*time.Millisecond, func() bool { return fl.get(pl.ID).State == plan.Done })
@@ -194,8 +194,8 @@
 			}
 		}
 		next := makePlan(t, late, weight(3))
-		if next.Ground.Version < 2 {
-			t.Errorf("a plan has base version %d of the old backup", next.Ground.Version)
+		if next.Base.Version < 2 {
+			t.Errorf("a plan has base version %d of the old backup", next.Base.Version)
 		}
 	})
 }
@@ -208,7 +208,7 @@
 		fl := newFleet(t, 7, 8)
 		defer fl.stop()
 		fl.settle()
-		fl.net.Cut(zones[1], true)
+		fl.net.SetIsolated(zones[1], true)
 		for _, no := range []*node{fl.nodes[1], fl.nodes[5]} {
 			no.store.SetFault(platformfake.Down)
 		}
@@ -223,7 +223,7 @@
 		}
 		for no, want := range map[*node]string{fl.nodes[0]: "dalseo", fl.nodes[1]: "buk-gu gyeongsan suseong"} {
 			status, err := no.Status(t.Context())
-			if got := strings.Join(status.CutOff, " "); err != nil || got != want {
+			if got := strings.Join(status.IsolatedZones, " "); err != nil || got != want {
 				t.Errorf("%s reports isolated zones %q, want %q: %v", no.Self.Name, got, want, err)
 			}
 			if said := strings.Contains(status.Platform, "has not answered"); said != (no == fl.nodes[1]) {
@@ -233,7 +233,7 @@
 		for _, me := range fl.nodes[1].View().In(zones[1], member.Suspected) {
 			t.Errorf("%s is suspected inside its own zone", me.Name)
 		}
-		fl.net.Cut(zones[1], false)
+		fl.net.SetIsolated(zones[1], false)
 		took := fl.until(time.Minute, 10*time.Millisecond, func() bool { return fl.inForce(2) })
 		t.Logf("in force in the zone %v after the partition healed", took)
 		time.Sleep(3 * member.ProbeInterval)
--- a/internal/control/route.go
+++ b/internal/control/route.go
@@ -25,11 +25,11 @@
 	// Platform describes how the answering instance sees the platform, for
 	// example "in step".
 	Platform string `json:"platform"`
-	// CutOff lists the zones that are isolated from the answering instance: none
-	// of their instances answers it.
-	CutOff  []string      `json:"cut_off,omitempty"`
-	Zones   []kind.Zone   `json:"zones"`
-	Members []FleetMember `json:"members"`
+	// IsolatedZones lists the zones that are isolated from the answering
+	// instance: none of their instances answers it.
+	IsolatedZones []string      `json:"cut_off,omitempty"`
+	Zones         []kind.Zone   `json:"zones"`
+	Members       []FleetMember `json:"members"`
 	// Running lists the plans that are being executed.
 	Running  []plan.Plan     `json:"running"`
 	Capacity []plan.Capacity `json:"capacity"`
@@ -138,7 +138,7 @@
 	}
 	cf := bu.Configuration()
 	status := FleetStatus{
-		Instance: co.Self.Name, Zone: co.Self.Zone, CutOff: isolatedZones(answers), InForce: plan.CountInForce(highestVersion(answers), answers), Platform: co.platformStatus(),
+		Instance: co.Self.Name, Zone: co.Self.Zone, IsolatedZones: isolatedZones(answers), InForce: plan.CountInForce(highestVersion(answers), answers), Platform: co.platformStatus(),
 		Zones: cf.Zones(), Capacity: plan.CapacityOf(cf), Running: []plan.Plan{},
 	}
 	for _, an := range answers {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -138,7 +138,7 @@
 		Seeds: da.Settings.Peers, Stop: da.requestStop,
 	}
 	da.control.Build()
-	granter := da.control.Count(da.buildAllocation(li, guard, client))
+	granter := da.control.CountGrants(da.buildAllocation(li, guard, client))
 	metrics := fasthttpadaptor.NewFastHTTPHandler(da.root.Handler)
 	hangups := &hangup.Watcher{Clock: da.Clock}
 	retries := &retry.Policy{Scope: da.root.Scope}
@@ -147,11 +147,11 @@
 		Hangups: hangups, Retries: retries, ResumeGrace: generation.DefaultResumeGrace, SlowCallerLimit: generation.DefaultSlowCallerLimit,
 		FlushDelay: time.Duration(limits.FlushDelay),
 	}
-	book := &record.Book{
+	recorder := &record.Recorder{
 		Store: guard.For(platform.ClassRecord), Instance: da.Settings.Name, Clock: da.Clock, Log: da.Log, Scope: da.root.Scope,
 		Retention: time.Duration(limits.RecordRetention),
 	}
-	calls := &call.Handler{Granter: granter, Sender: client, Book: book, Clock: da.Clock, Log: da.Log, Scope: da.root.Scope, Retries: retries}
+	calls := &call.Handler{Granter: granter, Sender: client, Recorder: recorder, Clock: da.Clock, Log: da.Log, Scope: da.root.Scope, Retries: retries}
 	da.entry = &entry.Server{
 		Listener: li.caller, Configuration: &da.configuration, Instance: da.Settings.Name, Explain: da.explain,
 		CreateGeneration: generations.Create, ResumeGeneration: generations.Resume, Call: calls.Serve,
@@ -173,5 +173,5 @@
 	}
 	controllers := append(da.control.Controllers(), li.certificates...)
 	controllers = append(controllers, da.members, da.suspicion, da.allocation)
-	return append(controllers, book, hangups, peers, operators, da.entry), nil
+	return append(controllers, recorder, hangups, peers, operators, da.entry), nil
 }
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -18,5 +18,5 @@
 //	if epoch, ok := le.Held(); ok { ... act, epoch is the fencing token ... }
 //
 // A caller that lists many leases with one call passes each object to Observe
-// and then calls Act in place of Step.
+// and then calls TakeOrRenew in place of Step.
 package lease
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -26,7 +26,7 @@
 
 // Lease is one instance's handle on a lease. Set the exported fields before the
 // first call. It is safe for concurrent use, except that only one goroutine may
-// call Step and Act.
+// call Step and TakeOrRenew.
 type Lease struct {
 	Store platform.Store
 	Clock clockwork.Clock
@@ -92,7 +92,7 @@
 	if err := le.Observe(ob); err != nil {
 		return err
 	}
-	return le.Act(ctx)
+	return le.TakeOrRenew(ctx)
 }
 
 // Observe records the stored object, whose version is zero if there is none.
@@ -127,9 +127,9 @@
 	le.maxEpoch = max(le.maxEpoch, re.Epoch)
 }
 
-// Act takes or renews the lease if that is due. It does nothing before the first
-// Observe.
-func (le *Lease) Act(ctx context.Context) error {
+// TakeOrRenew takes or renews the lease if that is due. It does nothing before
+// the first Observe.
+func (le *Lease) TakeOrRenew(ctx context.Context) error {
 	next, op := le.next()
 	if op == "" {
 		return nil
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -154,7 +154,7 @@
 func TestLostAnswerIsReadBack(t *testing.T) {
 	gm := NewWithT(t)
 	co := newContest()
-	co.store.SetFault(platformfake.LoseAnswers)
+	co.store.SetFault(platformfake.LoseResponses)
 	gm.Expect(co.leases[0].Step(t.Context())).To(Succeed())
 	_, held := co.leases[0].Held()
 	gm.Expect(held).To(BeTrue())
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -35,7 +35,7 @@
 
 func newGroup(t *testing.T, instances int, zones ...string) *group {
 	gr := &group{store: platformfake.New(), net: peerfake.New(clockwork.NewRealClock())}
-	gr.net.Near, gr.net.Far = 500*time.Microsecond, time.Millisecond
+	gr.net.IntraZoneDelay, gr.net.InterZoneDelay = 500*time.Microsecond, time.Millisecond
 	for ix := range instances {
 		self := member.Member{
 			Name: fmt.Sprintf("entry-%d", ix), Zone: zones[ix%len(zones)], Peer: fmt.Sprintf("10.0.0.%d:7100", ix),
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -56,7 +56,7 @@
 // zone and, in every goneProbeRounds-th round, gone members, which may be
 // reachable again after a network partition.
 func (ta *Table) targets() []Member {
-	list := append(ta.dueInRound(ta.ZonePeers()), ta.FarPeers()...)
+	list := append(ta.dueInRound(ta.ZonePeers()), ta.RemoteZonePeers()...)
 	if ta.rounds.Load()%goneProbeRounds != 0 {
 		return list
 	}
@@ -152,8 +152,8 @@
 		en.Version = max(en.Version, me.Version)
 	}
 	ta.mu.Unlock()
-	if ta.Seen != nil {
-		ta.Seen(me)
+	if ta.OnContact != nil {
+		ta.OnContact(me)
 	}
 }
 
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -99,9 +99,9 @@
 	// Version returns the version of the configuration in force on this
 	// instance, zero if there is none.
 	Version func() int64
-	// Seen is called after each contact with another member, with the version
+	// OnContact is called after each contact with another member, with the version
 	// in force there. It may be nil.
-	Seen func(me Member)
+	OnContact func(me Member)
 
 	view   snapshot.Holder[View]
 	events metric.Events[Reason]
@@ -144,16 +144,16 @@
 // completed a round of probes.
 func (ta *Table) Settled() bool { return ta.settled.Load() }
 
-// First reports whether this instance is among the first live members of its
-// zone in the rendezvous order of the key. The argument places is the number of
-// members that qualify. First uses only the local view, so more instances than
-// places may qualify while their views differ.
-func (ta *Table) First(key string, places int) bool {
+// IsZoneCandidate reports whether this instance is among the first live
+// members of its zone in the rendezvous order of the key. The argument places
+// is the number of members that qualify. IsZoneCandidate uses only the local
+// view, so more instances than places may qualify while their views differ.
+func (ta *Table) IsZoneCandidate(key string, places int) bool {
 	return ta.isAmongFirst(key, places, ta.View().In(ta.Self.Zone, Live))
 }
 
-// FirstOfAll is First over the live members of all zones.
-func (ta *Table) FirstOfAll(key string, places int) bool {
+// IsCandidate is IsZoneCandidate over the live members of all zones.
+func (ta *Table) IsCandidate(key string, places int) bool {
 	var live []Member
 	for _, me := range ta.View().Members {
 		if me.State == Live {
@@ -179,8 +179,9 @@
 	return slices.DeleteFunc(all, func(me Member) bool { return me.Name == ta.Self.Name || me.Peer == "" })
 }
 
-// FarPeers returns the members of each other zone that this instance probes.
-func (ta *Table) FarPeers() []Member {
+// RemoteZonePeers returns the members of each other zone that this instance
+// probes.
+func (ta *Table) RemoteZonePeers() []Member {
 	var list []Member
 	vi := ta.View()
 	for _, zone := range vi.Zones() {
--- a/internal/peer/peerfake/net.go
+++ b/internal/peer/peerfake/net.go
@@ -7,7 +7,7 @@
 //	ne := peerfake.New(clock)
 //	ne.Listen("10.0.0.1:7100", "zilina-a", map[string]any{"Member": service})
 //	ca := ne.Caller("10.0.0.1:7100") // a peer.Caller
-//	ne.Cut("zilina-a", true)         // calls between this and other zones get no answer
+//	ne.SetIsolated("zilina-a", true) // calls between this and other zones get no answer
 package peerfake
 
 import (
@@ -30,8 +30,9 @@
 // Net is an in-memory transport. Set the exported fields before the first call.
 // It is safe for concurrent use.
 type Net struct {
-	// Near and Far are the one-way delays within a zone and between zones.
-	Near, Far time.Duration
+	// IntraZoneDelay and InterZoneDelay are the one-way delays within a zone and
+	// between zones.
+	IntraZoneDelay, InterZoneDelay time.Duration
 
 	clock clockwork.Clock
 
@@ -80,16 +81,16 @@
 	ne.hosts[address].up = false
 }
 
-// Cut isolates a zone from all others, or ends its isolation.
-func (ne *Net) Cut(zone string, isolated bool) {
+// SetIsolated isolates a zone from all others, or ends its isolation.
+func (ne *Net) SetIsolated(zone string, isolated bool) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
 	ne.isolated[zone] = isolated
 }
 
-// Lose drops calls at random. The rate is between 0 and 1; a dropped call gets
-// no answer.
-func (ne *Net) Lose(lossRate float64, random *rand.Rand) {
+// SetLossRate drops calls at random. The rate is between 0 and 1; a dropped
+// call gets no answer.
+func (ne *Net) SetLossRate(lossRate float64, random *rand.Rand) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
 	ne.lossRate, ne.random = lossRate, random
@@ -169,9 +170,9 @@
 	if !found || !target.up || !known || !source.up {
 		return nil, 0, false
 	}
-	delay := ne.Far
+	delay := ne.InterZoneDelay
 	if source.zone == target.zone {
-		delay = ne.Near
+		delay = ne.IntraZoneDelay
 	}
 	partitioned := source.zone != target.zone && (ne.isolated[source.zone] || ne.isolated[target.zone])
 	dropped := ne.lossRate > 0 && ne.random.Float64() < ne.lossRate
--- a/internal/plan/await.go
+++ b/internal/plan/await.go
@@ -62,7 +62,7 @@
 			return st.Version
 		}
 	}
-	return pl.Ground.Version
+	return pl.Base.Version
 }
 
 // countRequests counts the requests in flight at the endpoints that include
--- a/internal/plan/build.go
+++ b/internal/plan/build.go
@@ -22,7 +22,7 @@
 // target.
 func build(bu *configuration.Bundle, ta intent.Target, vi *member.View) (Plan, error) {
 	cf := bu.Configuration()
-	pl := Plan{State: Planned, Ground: Ground{Version: bu.Head.Version, Shards: bu.Head.Shards}}
+	pl := Plan{State: Planned, Base: Base{Version: bu.Head.Version, Shards: bu.Head.Shards}}
 	pl.configure("change", cf, ta.Interim)
 	if len(ta.DrainEndpoints) > 0 {
 		pl.add(Step{
--- a/internal/plan/cancel.go
+++ b/internal/plan/cancel.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			return Plan{}, err
 		}
-		if re.State.Over() {
+		if re.State.Terminal() {
 			return re.Plan, cancelResult(re.Plan)
 		}
 		note := "nothing was changed"
@@ -89,7 +89,7 @@
 			return !mo.Done, nil
 		}
 		err = se.publish(ctx, bu, object, nil, configuration.Move{Plan: id, Done: true})
-		if !configuration.IsKind(err, configuration.Moved) {
+		if !configuration.IsKind(err, configuration.Conflict) {
 			return false, unavailable("cancel", id, err)
 		}
 	}
@@ -153,7 +153,7 @@
 		changes := undoChanges(pl, mo, bu.Configuration())
 		mo.Done, mo.Objects = true, nil
 		err = se.publish(ctx, bu, object, changes, mo)
-		if !configuration.IsKind(err, configuration.Moved) {
+		if !configuration.IsKind(err, configuration.Conflict) {
 			return err
 		}
 	}
--- a/internal/plan/confirm.go
+++ b/internal/plan/confirm.go
@@ -37,7 +37,7 @@
 			return re.Plan, confirmResult(re.Plan)
 		}
 		err = se.start(ctx, re)
-		if configuration.IsKind(err, configuration.Moved) {
+		if configuration.IsKind(err, configuration.Conflict) {
 			continue
 		}
 		return se.finishConfirm(ctx, re, err)
@@ -72,7 +72,7 @@
 }
 
 func (se *Service) refuse(ctx context.Context, re record, co *conflictError) (Plan, error) {
-	re.Since = co.changes
+	re.ChangesSinceBase = co.changes
 	re.Plan = re.WithEnd(Refused, co.Error(), se.Clock.Now())
 	saved, err := se.save(ctx, re)
 	if err != nil && !errors.Is(err, errConcurrentWrite) {
@@ -108,7 +108,7 @@
 	if lag := se.checkPlatformLag(ctx, bu.Head.Version); lag != nil {
 		return &Error{Op: "confirm", Plan: re.ID, Kind: Unavailable, Err: lag}
 	}
-	if !slices.Equal(bu.Head.Shards, re.Ground.Shards) {
+	if !slices.Equal(bu.Head.Shards, re.Base.Shards) {
 		return se.baseChanged(ctx, re, bu)
 	}
 	if holder := lockHolder(bu.Head, re.Plan); holder != "" {
@@ -138,8 +138,8 @@
 // baseChanged returns a conflictError with the changes since the plan was made.
 // The list is empty if the shards of the base version cannot be read any more.
 func (se *Service) baseChanged(ctx context.Context, re record, now *configuration.Bundle) error {
-	note := fmt.Sprintf("the configuration changed from version %d to %d since the plan was made; plan again", re.Ground.Version, now.Head.Version)
-	he := configuration.Head{Version: re.Ground.Version, Shards: re.Ground.Shards}
+	note := fmt.Sprintf("the configuration changed from version %d to %d since the plan was made; plan again", re.Base.Version, now.Head.Version)
+	he := configuration.Head{Version: re.Base.Version, Shards: re.Base.Shards}
 	base, err := configuration.ReadShards(ctx, se.Store, he, now)
 	if err != nil {
 		return &conflictError{detail: note}
@@ -148,7 +148,7 @@
 }
 
 // publish writes the next version of the configuration to the platform and puts
-// it in force on this instance. The error is of kind configuration.Moved if
+// it in force on this instance. The error is of kind configuration.Conflict if
 // another writer has changed the head.
 func (se *Service) publish(ctx context.Context, bu *configuration.Bundle, object int64, changes []Change, mo configuration.Move) error {
 	cf, err := apply(bu.Configuration(), changes)
--- a/internal/plan/executor.go
+++ b/internal/plan/executor.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	if re.State.Over() {
+	if re.State.Terminal() {
 		return ex.finalize(ctx, re.Plan)
 	}
 	now := ex.Clock.Now()
@@ -171,7 +171,7 @@
 		}
 		mo.Steps = ix + 1
 		err = ex.publish(ctx, bu, object, st.Changes, mo)
-		if configuration.IsKind(err, configuration.Moved) {
+		if configuration.IsKind(err, configuration.Conflict) {
 			ex.count(RetryMoved)
 			continue
 		}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -27,8 +27,8 @@
 	Canceled State = "canceled"
 )
 
-// Over reports whether the state is terminal.
-func (st State) Over() bool { return st == Done || st == Refused || st == Canceled }
+// Terminal reports whether no other state follows.
+func (st State) Terminal() bool { return st == Done || st == Refused || st == Canceled }
 
 // Action is what a step does.
 type Action string
@@ -91,10 +91,10 @@
 	Note string `json:"note,omitempty"`
 }
 
-// Ground is the base version of a plan: the configuration that it was made
+// Base is the base version of a plan: the configuration that it was made
 // from. Shards are the hashes of the shards of that version. A plan is refused
 // if the head lists other shards when it is confirmed.
-type Ground struct {
+type Base struct {
 	Version int64    `json:"version"`
 	Shards  []string `json:"shards"`
 }
@@ -108,7 +108,7 @@
 	Intent string    `json:"intent"`
 	Author string    `json:"author"`
 	Made   time.Time `json:"made"`
-	Ground Ground    `json:"ground"`
+	Base   Base      `json:"ground"`
 	Steps  []Step    `json:"steps"`
 	// Objects are the objects, each as "kind/name", that the plan locks against
 	// other plans from its confirmation to its end.
@@ -121,9 +121,9 @@
 	// Note says which running plan locked one of the objects when the plan was
 	// made, why the plan was refused, or which changes of a canceled plan remain.
 	Note string `json:"note,omitempty"`
-	// Since lists the changes to the configuration between the base version and
-	// the refusal.
-	Since []Change `json:"since,omitempty"`
+	// ChangesSinceBase lists the changes to the configuration between the base
+	// version and the refusal.
+	ChangesSinceBase []Change `json:"since,omitempty"`
 
 	// Owner is the name of the instance that executes the plan. Its claim expires
 	// at ClaimedUntil, after which another instance can take over.
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -146,7 +146,7 @@
 		var err error
 		pl, err = si.Get(context.Background(), id)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(pl.State.Over()).To(BeTrue())
+		g.Expect(pl.State.Terminal()).To(BeTrue())
 	}, "20s", "1ms").Should(Succeed())
 	return pl
 }
@@ -160,7 +160,7 @@
 
 // Update implements platform.Store.
 func (sb sweepBeforeHead) Update(ctx context.Context, key string, previous int64, value []byte) (int64, error) {
-	if key == configuration.Key {
+	if key == configuration.HeadKey {
 		sb.sweep()
 	}
 	return sb.Store.Update(ctx, key, previous, value)
@@ -177,7 +177,7 @@
 	It("changes nothing until it is confirmed, and shows the capacity that remains", func() {
 		si := newSite()
 		pl := si.makePlan(zoneOut)
-		Expect(pl.Ground.Version).To(Equal(int64(1)))
+		Expect(pl.Base.Version).To(Equal(int64(1)))
 		Expect(pl.Steps[0].Capacity).To(ContainElement(plan.Capacity{Service: "filbert-pool", Zone: "suseong"}))
 		Expect(pl.Steps[0].Capacity).To(ContainElement(plan.Capacity{Service: "filbert-pool", Zone: "dalseo", Endpoints: 2, Sequences: 200, MemoryTokens: 2000}))
 		bu, _, err := configuration.Read(ctx, si.store, nil)
@@ -193,14 +193,14 @@
 		pl, err := si.Confirm(ctx, second.ID, "operators")
 		Expect(plan.IsKind(err, plan.Conflict)).To(BeTrue())
 		Expect(pl.State).To(Equal(plan.Refused))
-		Expect(pl.Since).To(HaveLen(1))
-		Expect(pl.Since[0].Object()).To(Equal("zone/suseong"))
+		Expect(pl.ChangesSinceBase).To(HaveLen(1))
+		Expect(pl.ChangesSinceBase[0].Object()).To(Equal("zone/suseong"))
 	})
 
 	It("is applied once however often it is confirmed, also when answers are lost", func() {
 		si := newSite()
 		pl := si.makePlan(zoneOut)
-		si.store.SetFault(platformfake.LoseAnswers)
+		si.store.SetFault(platformfake.LoseResponses)
 		for range 3 {
 			_, err := si.Confirm(ctx, pl.ID, "operators")
 			Expect(err).NotTo(HaveOccurred())
@@ -246,7 +246,7 @@
 		en, _ := si.State.Bundle().Configuration().Endpoint("engine-0")
 		Expect(en.Half).To(BeEmpty())
 		Expect(en.Serving()).To(BeTrue())
-		Expect(si.State.Bundle().Head.Holder("endpoint/engine-0")).To(BeEmpty())
+		Expect(si.State.Bundle().Head.ReservedBy("endpoint/engine-0")).To(BeEmpty())
 	})
 
 	It("changes nothing while the platform shows an older version than another instance has in force", func() {
@@ -269,7 +269,7 @@
 			si := newSite()
 			pl := si.makePlan(zoneOut)
 			si.store.SetRandom(rand.New(rand.NewPCG(seed, 1)))
-			si.store.SetFault(platformfake.LoseSome)
+			si.store.SetFault(platformfake.LoseRandomly)
 			_, err := si.Confirm(ctx, pl.ID, "operators")
 			bu, _, readErr := configuration.Read(ctx, si.store, nil)
 			Expect(readErr).NotTo(HaveOccurred())
@@ -282,7 +282,7 @@
 			pl, err = se.Cancel(ctx, pl.ID)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(pl.Note).To(Equal("nothing was changed"))
-			si.store.Deliver()
+			si.store.DeliverDelayed()
 			bu, _, err = configuration.Read(ctx, se.Store, nil)
 			Expect(err).NotTo(HaveOccurred())
 			zo, _ := bu.Configuration().Zone("suseong")
@@ -332,7 +332,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		out, err := first.Next(cf, configuration.Move{Plan: "a", Done: true})
 		Expect(err).NotTo(HaveOccurred())
-		head, err := si.store.Get(ctx, configuration.Key)
+		head, err := si.store.Get(ctx, configuration.HeadKey)
 		Expect(err).NotTo(HaveOccurred())
 		object, err := configuration.PublishBundle(ctx, si.store, head.Version, out, first)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/plan/service.go
+++ b/internal/plan/service.go
@@ -119,7 +119,7 @@
 // plan, or an empty string.
 func lockHolder(he configuration.Head, pl Plan) string {
 	for _, object := range pl.Objects {
-		if holder := he.Holder(object); holder != "" && holder != pl.ID {
+		if holder := he.ReservedBy(object); holder != "" && holder != pl.ID {
 			return holder
 		}
 	}
--- a/internal/plan/sweep.go
+++ b/internal/plan/sweep.go
@@ -80,8 +80,8 @@
 		if err := json.Unmarshal(ob.Value, &pl); err != nil {
 			continue
 		}
-		if !pl.State.Over() {
-			referenced = append(referenced, pl.Ground.Shards...)
+		if !pl.State.Terminal() {
+			referenced = append(referenced, pl.Base.Shards...)
 		} else if sw.Clock.Since(pl.Ended) > planRetention {
 			sw.remove(ctx, ob, SweptPlan)
 		}
--- a/internal/platform/backoff.go
+++ b/internal/platform/backoff.go
@@ -19,8 +19,8 @@
 	Random func(n int64) int64
 }
 
-// Pause returns the delay after a failed attempt. Attempts count from 1.
-func (ba Backoff) Pause(try int) time.Duration {
+// Delay returns the delay after a failed attempt. Attempts count from 1.
+func (ba Backoff) Delay(try int) time.Duration {
 	bound := ba.Base
 	for range try - 1 {
 		bound = min(2*bound, ba.Cap)
@@ -36,7 +36,7 @@
 // waited in full. It returns false at once if the delay would end after the
 // deadline of ctx, and as soon as ctx is canceled.
 func (ba Backoff) sleep(ctx context.Context, clock clockwork.Clock, try int) bool {
-	delay := ba.Pause(try)
+	delay := ba.Delay(try)
 	if until, ok := ctx.Deadline(); ok && clock.Until(until) < delay {
 		return false
 	}
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -63,7 +63,7 @@
 
 	It("detects that a write with a lost response took effect, and does not repeat it", func() {
 		st := platformfake.New()
-		st.SetFault(platformfake.LoseAnswers)
+		st.SetFault(platformfake.LoseResponses)
 		version, err := newGuard(st, clockwork.NewRealClock()).For(platform.ClassRecord).Update(ctx, "a", 0, []byte("w1"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(version).To(Equal(int64(1)))
@@ -143,14 +143,14 @@
 		for ix := range 3 {
 			co := st.Connect()
 			co.SetRandom(rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "source"), uint64(ix))))
-			co.SetFault(platformfake.LoseSome)
+			co.SetFault(platformfake.LoseRandomly)
 			connections = append(connections, co)
 			clients = append(clients, newGuard(co, clockwork.NewRealClock()).For(platform.ClassRecord))
 		}
 		results := make(map[string]error)
 		for step := range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			if rapid.Bool().Draw(rt, "deliver") {
-				connections[rapid.IntRange(0, 2).Draw(rt, "late")].Deliver()
+				connections[rapid.IntRange(0, 2).Draw(rt, "late")].DeliverDelayed()
 			}
 			ob, _ := st.Get(context.Background(), "log")
 			mark := fmt.Sprintf("<%d>", step)
@@ -162,7 +162,7 @@
 			_, results[mark] = clients[rapid.IntRange(0, 2).Draw(rt, "client")].Update(context.Background(), "log", ob.Version, value)
 		}
 		for _, co := range connections {
-			co.Deliver()
+			co.DeliverDelayed()
 		}
 		ob, _ := st.Get(context.Background(), "log")
 		for mark, err := range results {
--- a/internal/platform/platformfake/fake.go
+++ b/internal/platform/platformfake/fake.go
@@ -4,9 +4,9 @@
 // # Usage
 //
 //	st := platformfake.New()
-//	st.SetFault(platformfake.LoseAnswers) // writes take effect, responses are lost
+//	st.SetFault(platformfake.LoseResponses) // writes take effect, responses are lost
 //	other := st.Connect()                 // same objects, separate faults
-//	old := st.Copy()
+//	old := st.Snapshot()
 //	st.Restore(old)                       // as an operator restores a backup
 package platformfake
 
@@ -69,8 +69,8 @@
 	return ss.reads, ss.writes
 }
 
-// Copy returns a snapshot of all objects.
-func (ss *sharedState) Copy() map[string]platform.Object {
+// Snapshot returns a copy of all objects.
+func (ss *sharedState) Snapshot() map[string]platform.Object {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	objects := make(map[string]platform.Object, len(ss.objects))
--- a/internal/platform/platformfake/fault.go
+++ b/internal/platform/platformfake/fault.go
@@ -19,12 +19,12 @@
 	None Fault = iota
 	// Down fails every call as platform.Unavailable and without effect.
 	Down
-	// LoseAnswers applies writes and drops their responses.
-	LoseAnswers
-	// LoseSome lets half of the writes succeed. Each of the others loses its
+	// LoseResponses applies writes and drops their responses.
+	LoseResponses
+	// LoseRandomly lets half of the writes succeed. Each of the others loses its
 	// response, arrives late or never arrives. The choice is made with the
 	// random source given to SetRandom.
-	LoseSome
+	LoseRandomly
 	// Slow delays each call by the duration given to SetDelay.
 	Slow
 	// StaleLists makes Instances return the list before the current one.
@@ -50,12 +50,13 @@
 	delay    time.Duration
 	change   chan struct{}
 	injected int
-	// pending are the writes that LoseSome has delayed and Deliver applies.
+	// pending are the writes that LoseRandomly has delayed and DeliverDelayed
+	// applies.
 	pending []func()
 }
 
 // SetFault sets the fault of the connection until the next call of SetFault and
-// applies the writes that LoseSome has delayed so far.
+// applies the writes that LoseRandomly has delayed so far.
 func (fa *faultInjector) SetFault(fault Fault) {
 	fa.lock.Lock()
 	fa.fault = fault
@@ -64,11 +65,11 @@
 		fa.change = nil
 	}
 	fa.lock.Unlock()
-	fa.Deliver()
+	fa.DeliverDelayed()
 }
 
-// Deliver applies the writes that LoseSome has delayed.
-func (fa *faultInjector) Deliver() {
+// DeliverDelayed applies the writes that LoseRandomly has delayed.
+func (fa *faultInjector) DeliverDelayed() {
 	fa.lock.Lock()
 	pending := fa.pending
 	fa.pending = nil
@@ -78,8 +79,8 @@
 	}
 }
 
-// SetRandom sets the random source of LoseSome. It must be set before LoseSome is
-// used.
+// SetRandom sets the random source of LoseRandomly. It must be set before
+// LoseRandomly is used.
 func (fa *faultInjector) SetRandom(random *rand.Rand) {
 	fa.lock.Lock()
 	defer fa.lock.Unlock()
@@ -156,9 +157,9 @@
 	defer fa.lock.Unlock()
 	ou := delivered
 	switch {
-	case fa.fault == LoseAnswers:
+	case fa.fault == LoseResponses:
 		ou = responseLost
-	case fa.fault == LoseSome && fa.random.IntN(2) == 0:
+	case fa.fault == LoseRandomly && fa.random.IntN(2) == 0:
 		ou = responseLost + writeOutcome(fa.random.IntN(int(outcomeCount-responseLost)))
 	}
 	if ou != delivered {
--- a/internal/record/doc.go
+++ b/internal/record/doc.go
@@ -15,10 +15,10 @@
 //
 // # Usage
 //
-//	bk := &record.Book{Store: guard.For(platform.ClassRecord), Instance: "entry-1", Clock: clock}
-//	go bk.Run(ctx) // loads the record, and waits for pending writes at the end
+//	rc := &record.Recorder{Store: guard.For(platform.ClassRecord), Instance: "entry-1", Clock: clock}
+//	go rc.Run(ctx) // loads the record, and waits for pending writes at the end
 //	id := record.NewID(team, service, key)
-//	cl, err := bk.Begin(ctx, id, digest, deadline)
+//	cl, err := rc.Begin(ctx, id, digest, deadline)
 //	switch {
 //	case err != nil:  // not recorded: do not dispatch
 //	case cl.Own:      // dispatch once, then Answer, MarkLost or Withdraw
--- a/internal/record/rate_test.go
+++ b/internal/record/rate_test.go
@@ -44,10 +44,10 @@
 // runLoad records keyed calls at the given rate. It returns a histogram of the
 // time in microseconds that Begin and Answer take together for a call.
 func runLoad(t *testing.T, st *platformfake.Store, perSecond, total int) *hdrhistogram.Histogram {
-	var books []*record.Book
+	var recorders []*record.Recorder
 	for ix := range instances {
 		gu := &platform.Guard{Store: delayedStore{st}, Clock: clockwork.NewRealClock()}
-		books = append(books, &record.Book{
+		recorders = append(recorders, &record.Recorder{
 			Store: gu.For(platform.ClassRecord), Instance: fmt.Sprint("entry-", ix), Clock: clockwork.NewRealClock(),
 		})
 	}
@@ -56,7 +56,7 @@
 	latency := hdrhistogram.New(1, time.Hour.Microseconds(), 3)
 	for ix := range total {
 		wg.Go(func() {
-			took, err := recordCall(books[ix*31%instances], fmt.Sprint(perSecond, "-", ix))
+			took, err := recordCall(recorders[ix*31%instances], fmt.Sprint(perSecond, "-", ix))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -70,14 +70,14 @@
 	return latency
 }
 
-func recordCall(bk *record.Book, key string) (time.Duration, error) {
+func recordCall(rc *record.Recorder, key string) (time.Duration, error) {
 	ctx := context.Background()
 	begun := time.Now()
-	cl, err := bk.Begin(ctx, record.NewID("team", "desk", key), record.Hash{}, begun.Add(time.Minute))
+	cl, err := rc.Begin(ctx, record.NewID("team", "desk", key), record.Hash{}, begun.Add(time.Minute))
 	if err != nil || !cl.Own {
 		return 0, fmt.Errorf("own %t: %w", cl.Own, err)
 	}
-	err = bk.Answer(ctx, cl, record.Answer{Status: 200, ContentType: "application/json", Body: make([]byte, 120)})
+	err = rc.Answer(ctx, cl, record.Answer{Status: 200, ContentType: "application/json", Body: make([]byte, 120)})
 	return time.Since(begun), err
 }
 
@@ -97,7 +97,7 @@
 			if rate := float64(writes) / elapsed; rate > maxWritesPerSecond {
 				t.Errorf("%.0f writes per second at %d calls per second", rate, ca.perSecond)
 			}
-			for key, ob := range st.Copy() {
+			for key, ob := range st.Snapshot() {
 				if len(ob.Value) > platform.MaxValueBytes/2 {
 					t.Errorf("%s has %d bytes", key, len(ob.Value))
 				}
--- a/internal/record/book.go
+++ b/internal/record/recorder.go
@@ -20,12 +20,12 @@
 	// shardCount is the number of objects that changes are written to. It must
 	// never change, because it determines in which object an entry is looked up.
 	shardCount = 2
-	// defaultWriteInterval is the default of Book.WriteInterval.
+	// defaultWriteInterval is the default of Recorder.WriteInterval.
 	defaultWriteInterval = 100 * time.Millisecond
 	// writeBurst is the number of writes to a shard that may follow each other
 	// without delay after an idle period.
 	writeBurst = 4
-	// defaultRetention is the default of Book.Retention.
+	// defaultRetention is the default of Recorder.Retention.
 	defaultRetention = 24 * time.Hour
 	// commitTimeout is the timeout of one attempt to read and write a shard.
 	commitTimeout = 2 * time.Second
@@ -51,7 +51,7 @@
 // failed and incomplete reads and writes.
 type Reason string
 
-// The reasons that a Book counts.
+// The reasons that a Recorder counts.
 const (
 	// RetryConflict counts writes that conflicted with a write of another
 	// instance.
@@ -74,9 +74,10 @@
 
 var reasons = []Reason{RetryConflict, RetryUnavailable, RetryUnknown, RetryCorrupt, RefusedFull, SegmentLeft}
 
-// Book records calls in the platform. The fields must be set before the first
-// use, and zero durations select the defaults. It is safe for concurrent use.
-type Book struct {
+// Recorder records calls in the platform. The fields must be set before the
+// first use, and zero durations select the defaults. It is safe for concurrent
+// use.
+type Recorder struct {
 	Store platform.Store
 	// Instance is the name of this instance. It is stored in each entry that the
 	// instance creates.
@@ -103,31 +104,31 @@
 	return hex.EncodeToString(raw[:])
 }
 
-func (bk *Book) prepare() {
-	bk.once.Do(func() {
-		if bk.WriteInterval == 0 {
-			bk.WriteInterval = defaultWriteInterval
+func (rc *Recorder) prepare() {
+	rc.once.Do(func() {
+		if rc.WriteInterval == 0 {
+			rc.WriteInterval = defaultWriteInterval
 		}
-		if bk.Retention == 0 {
-			bk.Retention = defaultRetention
+		if rc.Retention == 0 {
+			rc.Retention = defaultRetention
 		}
-		scope := bk.Scope
+		scope := rc.Scope
 		if scope == nil {
 			scope = tally.NoopScope
 		}
-		bk.events = metric.Reasons(scope, "record_events", reasons)
-		for ix := range bk.shards {
-			bk.shards[ix] = &shard{bk: bk, key: fmt.Sprintf("%s%02d", prefix, ix), index: newSegmentIndex()}
+		rc.events = metric.Reasons(scope, "record_events", reasons)
+		for ix := range rc.shards {
+			rc.shards[ix] = &shard{rc: rc, key: fmt.Sprintf("%s%02d", prefix, ix), index: newSegmentIndex()}
 		}
 	})
 }
 
-func (bk *Book) shard(id Hash) *shard {
-	bk.prepare()
-	return bk.shards[int(id[0])%shardCount]
+func (rc *Recorder) shard(id Hash) *shard {
+	rc.prepare()
+	return rc.shards[int(id[0])%shardCount]
 }
 
-func (bk *Book) countRetry(err error) {
+func (rc *Recorder) countRetry(err error) {
 	re := RetryCorrupt
 	switch {
 	case platform.IsKind(err, platform.Conflict):
@@ -137,31 +138,31 @@
 	case platform.IsKind(err, platform.Unknown):
 		re = RetryUnknown
 	default:
-		bk.Log.Error().Err(err).Msg("record: stored object cannot be read or written; retrying until the changes time out")
+		rc.Log.Error().Err(err).Msg("record: stored object cannot be read or written; retrying until the changes time out")
 	}
-	bk.events[re].Inc(1)
+	rc.events[re].Inc(1)
 }
 
 // Name implements controller.Controller.
-func (bk *Book) Name() string { return "record" }
+func (rc *Recorder) Name() string { return "record" }
 
 // Run reads all shards and their segments once, so that the first calls do not
 // have to. When ctx ends, it waits up to 5 s for pending writes.
-func (bk *Book) Run(ctx context.Context) error {
-	bk.prepare()
-	for _, sh := range bk.shards {
-		sh.submit(newChange(opFind, Entry{}, bk.Clock.Now().Add(commitTimeout)))
+func (rc *Recorder) Run(ctx context.Context) error {
+	rc.prepare()
+	for _, sh := range rc.shards {
+		sh.submit(newChange(opFind, Entry{}, rc.Clock.Now().Add(commitTimeout)))
 	}
 	<-ctx.Done()
-	deadline := bk.Clock.Now().Add(drainTimeout)
-	for bk.busy() && bk.Clock.Now().Before(deadline) {
-		bk.Clock.Sleep(drainTimeout / 500)
+	deadline := rc.Clock.Now().Add(drainTimeout)
+	for rc.busy() && rc.Clock.Now().Before(deadline) {
+		rc.Clock.Sleep(drainTimeout / 500)
 	}
 	return nil
 }
 
-func (bk *Book) busy() bool {
-	for _, sh := range bk.shards {
+func (rc *Recorder) busy() bool {
+	for _, sh := range rc.shards {
 		if sh.busy() {
 			return true
 		}
@@ -173,35 +174,35 @@
 // call may be dispatched only if Own is set in the returned claim. After an error
 // it must not be dispatched, and if the entry was written nevertheless, it is
 // withdrawn.
-func (bk *Book) Begin(ctx context.Context, id, digest Hash, deadline time.Time) (Claim, error) {
-	now := bk.Clock.Now()
+func (rc *Recorder) Begin(ctx context.Context, id, digest Hash, deadline time.Time) (Claim, error) {
+	now := rc.Clock.Now()
 	en := Entry{
-		ID: id, State: Begun, Write: newWriteID(), Instance: bk.Instance, Digest: digest,
-		BegunMS: now.UnixMilli(), UntilMS: deadline.UnixMilli(), ExpiresMS: deadline.Add(bk.retention()).UnixMilli(),
+		ID: id, State: Begun, Write: newWriteID(), Instance: rc.Instance, Digest: digest,
+		BegunMS: now.UnixMilli(), UntilMS: deadline.UnixMilli(), ExpiresMS: deadline.Add(rc.retention()).UnixMilli(),
 	}
 	until := now.Add(beginTimeout)
 	if deadline.Before(until) {
 		until = deadline
 	}
-	cl, err := bk.submitAndWait(ctx, newChange(opBegin, en, until))
+	cl, err := rc.submitAndWait(ctx, newChange(opBegin, en, until))
 	cl.requestedAt = now
 	return cl, err
 }
 
-func (bk *Book) retention() time.Duration {
-	bk.prepare()
-	return bk.Retention
+func (rc *Recorder) retention() time.Duration {
+	rc.prepare()
+	return rc.Retention
 }
 
 // Find reads the entry of a call. Found is false in the returned claim if there
 // is none.
-func (bk *Book) Find(ctx context.Context, id Hash) (Claim, error) {
-	return bk.submitAndWait(ctx, newChange(opFind, Entry{ID: id}, bk.Clock.Now().Add(beginTimeout)))
+func (rc *Recorder) Find(ctx context.Context, id Hash) (Claim, error) {
+	return rc.submitAndWait(ctx, newChange(opFind, Entry{ID: id}, rc.Clock.Now().Add(beginTimeout)))
 }
 
 // submitAndWait submits a change and waits for its result until ctx ends.
-func (bk *Book) submitAndWait(ctx context.Context, ch *change) (Claim, error) {
-	bk.shard(ch.entry.ID).submit(ch)
+func (rc *Recorder) submitAndWait(ctx context.Context, ch *change) (Claim, error) {
+	rc.shard(ch.entry.ID).submit(ch)
 	var re result
 	select {
 	case re = <-ch.result:
@@ -214,12 +215,12 @@
 	if re.err != nil || re.sealedIn == "" {
 		return re.claim, re.err
 	}
-	return bk.readSealed(ctx, ch, re.sealedIn)
+	return rc.readSealed(ctx, ch, re.sealedIn)
 }
 
 // readSealed reads the entry of a change from the segment with the given key.
-func (bk *Book) readSealed(ctx context.Context, ch *change, key string) (Claim, error) {
-	list, err := readSegment(ctx, bk.Store, key)
+func (rc *Recorder) readSealed(ctx context.Context, ch *change, key string) (Claim, error) {
+	list, err := readSegment(ctx, rc.Store, key)
 	if err != nil {
 		return Claim{}, &Error{Op: string(ch.op), Kind: Unavailable, Err: err}
 	}
@@ -240,8 +241,8 @@
 // for example after the process was paused, is read again, and the claim is valid
 // only if the entry is unchanged and not abandoned. The error has kind Gone if the
 // claim is not valid, and another kind if the entry could not be read.
-func (bk *Book) Confirm(ctx context.Context, cl Claim) error {
-	now := bk.Clock.Now()
+func (rc *Recorder) Confirm(ctx context.Context, cl Claim) error {
+	now := rc.Clock.Now()
 	// Round strips the monotonic clock reading. The larger of the two intervals
 	// is used, because the monotonic clock may stop while the machine is suspended
 	// and the wall clock may be set back.
@@ -249,54 +250,54 @@
 	if elapsed <= dispatchWindow {
 		return nil
 	}
-	current, err := bk.Find(ctx, cl.Entry.ID)
+	current, err := rc.Find(ctx, cl.Entry.ID)
 	if err != nil {
 		return err
 	}
 	same := current.Found && current.Entry.State == Begun && current.Entry.Write == cl.Entry.Write
-	if !same || current.Entry.Abandoned(bk.Clock.Now()) {
+	if !same || current.Entry.Abandoned(rc.Clock.Now()) {
 		return &Error{Op: "confirm", Kind: Gone}
 	}
 	return nil
 }
 
-// Answer records the answer of a call that this instance began. It returns when
-// the answer is written or ctx ends. In the latter case the book keeps trying to
-// write it for up to 10 minutes.
-func (bk *Book) Answer(ctx context.Context, cl Claim, an Answer) error {
-	ch := newChange(opAnswer, cl.Entry, bk.Clock.Now().Add(finishTimeout))
+// Answer records the answer of a call that this instance began. It returns
+// when the answer is written or ctx ends. In the latter case the recorder
+// keeps trying to write it for up to 10 minutes.
+func (rc *Recorder) Answer(ctx context.Context, cl Claim, an Answer) error {
+	ch := newChange(opAnswer, cl.Entry, rc.Clock.Now().Add(finishTimeout))
 	ch.answer = an
-	_, err := bk.submitAndWait(ctx, ch)
+	_, err := rc.submitAndWait(ctx, ch)
 	return err
 }
 
 // MarkLost records that the call may have run and that its answer is lost. It waits
 // and retries as Answer does.
-func (bk *Book) MarkLost(ctx context.Context, cl Claim) error {
-	_, err := bk.submitAndWait(ctx, newChange(opLose, cl.Entry, bk.Clock.Now().Add(finishTimeout)))
+func (rc *Recorder) MarkLost(ctx context.Context, cl Claim) error {
+	_, err := rc.submitAndWait(ctx, newChange(opLose, cl.Entry, rc.Clock.Now().Add(finishTimeout)))
 	return err
 }
 
 // Withdraw removes the entry of a call that this instance began but has not
 // dispatched and will not dispatch. It returns immediately and retries in the
 // background.
-func (bk *Book) Withdraw(cl Claim) {
-	bk.shard(cl.Entry.ID).submit(newChange(opWithdraw, cl.Entry, bk.Clock.Now().Add(finishTimeout)))
+func (rc *Recorder) Withdraw(cl Claim) {
+	rc.shard(cl.Entry.ID).submit(newChange(opWithdraw, cl.Entry, rc.Clock.Now().Add(finishTimeout)))
 }
 
 // Await polls the entry of a call that another request began until the call has
 // an outcome, is withdrawn, or is abandoned. When ctx ends, it returns the claim
 // that was read last.
-func (bk *Book) Await(ctx context.Context, cl Claim) Claim {
+func (rc *Recorder) Await(ctx context.Context, cl Claim) Claim {
 	pause := minPollInterval
-	for cl.Found && cl.Entry.State == Begun && !cl.Entry.Abandoned(bk.Clock.Now()) {
+	for cl.Found && cl.Entry.State == Begun && !cl.Entry.Abandoned(rc.Clock.Now()) {
 		select {
-		case <-bk.Clock.After(pause):
+		case <-rc.Clock.After(pause):
 		case <-ctx.Done():
 			return cl
 		}
 		pause = min(pause*3/2, maxPollInterval)
-		if next, err := bk.Find(ctx, cl.Entry.ID); err == nil {
+		if next, err := rc.Find(ctx, cl.Entry.ID); err == nil {
 			cl = next
 		}
 	}
--- a/internal/record/segment.go
+++ b/internal/record/segment.go
@@ -135,7 +135,7 @@
 	if pg.bytes < sealThresholdBytes {
 		return nil
 	}
-	list := pg.finished(sh.bk.Clock.Now())
+	list := pg.finished(sh.rc.Clock.Now())
 	ss := &sealedSegment{list: list, ref: segmentRef{Key: fmt.Sprintf("%s/%s", sh.key, newWriteID())}}
 	moved := make(map[Hash]bool, len(list))
 	bytes := 0
@@ -151,9 +151,9 @@
 	if err != nil {
 		return nil
 	}
-	if ss.ref.Version, err = sh.bk.Store.Update(ctx, ss.ref.Key, 0, data); err != nil {
+	if ss.ref.Version, err = sh.rc.Store.Update(ctx, ss.ref.Key, 0, data); err != nil {
 		if platform.IsKind(err, platform.Unknown) {
-			sh.bk.events[SegmentLeft].Inc(1)
+			sh.rc.events[SegmentLeft].Inc(1)
 		}
 		return nil
 	}
--- a/internal/record/segment_test.go
+++ b/internal/record/segment_test.go
@@ -16,8 +16,8 @@
 	"filbertstall.example/filbertstall/internal/record"
 )
 
-func newBook(st platform.Store, name string) *record.Book {
-	return &record.Book{Store: st, Instance: name, Clock: clockwork.NewRealClock()}
+func newRecorder(st platform.Store, name string) *record.Recorder {
+	return &record.Recorder{Store: st, Instance: name, Clock: clockwork.NewRealClock()}
 }
 
 func id(ix int) record.Hash { return record.NewID("team", "desk", fmt.Sprint(ix)) }
@@ -31,14 +31,14 @@
 	wg.Wait()
 }
 
-func begin(bk *record.Book, ix int) (record.Claim, error) {
-	return bk.Begin(context.Background(), id(ix), record.Hash{1}, time.Now().Add(time.Minute))
+func begin(rc *record.Recorder, ix int) (record.Claim, error) {
+	return rc.Begin(context.Background(), id(ix), record.Hash{1}, time.Now().Add(time.Minute))
 }
 
 // checkSizes fails the test if an object is larger than three quarters of the
 // size that the platform accepts.
 func checkSizes(t *testing.T, st *platformfake.Store) {
-	for key, ob := range st.Copy() {
+	for key, ob := range st.Snapshot() {
 		if len(ob.Value) > platform.MaxValueBytes*3/4 {
 			t.Errorf("%s has %d bytes", key, len(ob.Value))
 		}
@@ -46,7 +46,7 @@
 }
 
 func countSegments(st *platformfake.Store) (total int) {
-	for key := range st.Copy() {
+	for key := range st.Snapshot() {
 		if strings.Count(key, "/") == 2 {
 			total++
 		}
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const calls, rounds, sample = 150, 8, 24
 		st := platformfake.New()
-		writer, bystander := newBook(st, "entry-0"), newBook(st, "entry-1")
+		writer, bystander := newRecorder(st, "entry-0"), newRecorder(st, "entry-1")
 		answer := func(ix int) record.Answer {
 			return record.Answer{Status: 200, Body: []byte(fmt.Sprintf("%d%s", ix, strings.Repeat(".", 600)))}
 		}
@@ -77,12 +77,12 @@
 			t.Fatalf("%d segments, want at least 2", countSegments(st))
 		}
 		checkSizes(t, st)
-		for _, bk := range []*record.Book{writer, bystander, newBook(st, "entry-2")} {
+		for _, rc := range []*record.Recorder{writer, bystander, newRecorder(st, "entry-2")} {
 			runConcurrently(sample, func(ix int) {
 				ix *= rounds * calls / sample
-				cl, err := begin(bk, ix)
+				cl, err := begin(rc, ix)
 				if err != nil || cl.Own || cl.Entry.Answer == nil || string(cl.Entry.Answer.Body) != string(answer(ix).Body) {
-					t.Errorf("%s: call %d: own %t, %v", bk.Instance, ix, cl.Own, err)
+					t.Errorf("%s: call %d: own %t, %v", rc.Instance, ix, cl.Own, err)
 				}
 			})
 		}
@@ -94,22 +94,22 @@
 func TestEntriesExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := platformfake.New()
-		bk := newBook(st, "entry-0")
+		rc := newRecorder(st, "entry-0")
 		for round := range 3 {
 			runConcurrently(200, func(ix int) {
-				cl, _ := begin(bk, round*200+ix)
-				_ = bk.Answer(context.Background(), cl, record.Answer{Status: 200, Body: make([]byte, 800)})
+				cl, _ := begin(rc, round*200+ix)
+				_ = rc.Answer(context.Background(), cl, record.Answer{Status: 200, Body: make([]byte, 800)})
 			})
 		}
 		before := countSegments(st)
 		time.Sleep(23 * time.Hour)
-		if cl, err := begin(bk, 0); err != nil || cl.Own {
+		if cl, err := begin(rc, 0); err != nil || cl.Own {
 			t.Errorf("a key could be used again within the retention: %v", err)
 		}
 		time.Sleep(2 * time.Hour)
 		// Expired entries and segments are removed with the next write to a shard.
 		runConcurrently(64, func(ix int) {
-			cl, err := begin(bk, ix)
+			cl, err := begin(rc, ix)
 			if err != nil || !cl.Own {
 				t.Errorf("key %d could not be used again after the retention: %v", ix, err)
 			}
@@ -126,12 +126,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		const calls = 2600
 		st := platformfake.New()
-		bk := newBook(st, "entry-0")
+		rc := newRecorder(st, "entry-0")
 		var mu sync.Mutex
 		var own []record.Claim
 		full := 0
 		runConcurrently(calls, func(ix int) {
-			cl, err := begin(bk, ix)
+			cl, err := begin(rc, ix)
 			mu.Lock()
 			defer mu.Unlock()
 			if record.IsKind(err, record.Full) {
@@ -145,12 +145,12 @@
 		}
 		checkSizes(t, st)
 		runConcurrently(len(own), func(ix int) {
-			if err := bk.Answer(context.Background(), own[ix], record.Answer{Status: 200, Body: make([]byte, 4096)}); err != nil {
+			if err := rc.Answer(context.Background(), own[ix], record.Answer{Status: 200, Body: make([]byte, 4096)}); err != nil {
 				t.Errorf("outcome not recorded: %v", err)
 			}
 		})
 		checkSizes(t, st)
-		if cl, err := begin(bk, calls); err != nil || !cl.Own {
+		if cl, err := begin(rc, calls); err != nil || !cl.Own {
 			t.Errorf("no call can begin although the outcomes were recorded: %v", err)
 		}
 	})
@@ -167,7 +167,7 @@
 					t.Fatal(err)
 				}
 			}
-			if _, err := begin(newBook(st, "entry-0"), 1); !record.IsKind(err, record.Unavailable) {
+			if _, err := begin(newRecorder(st, "entry-0"), 1); !record.IsKind(err, record.Unavailable) {
 				t.Errorf("with stored object %q: got error %v, want kind unavailable", value, err)
 			}
 		}
@@ -179,24 +179,24 @@
 func TestRunWritesWhatIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := platformfake.New()
-		bk := newBook(delayedStore{st}, "entry-0")
+		rc := newRecorder(delayedStore{st}, "entry-0")
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error)
-		go func() { ended <- bk.Run(ctx) }()
-		cl, err := begin(bk, 1)
+		go func() { ended <- rc.Run(ctx) }()
+		cl, err := begin(rc, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		shortCtx, cancel := context.WithTimeout(ctx, time.Nanosecond)
 		defer cancel()
-		if err := bk.Answer(shortCtx, cl, record.Answer{Status: 201}); err == nil {
+		if err := rc.Answer(shortCtx, cl, record.Answer{Status: 201}); err == nil {
 			t.Fatal("the answer was written immediately, so the test does not cover its case")
 		}
 		stop()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		found, err := newBook(st, "entry-1").Find(context.Background(), id(1))
+		found, err := newRecorder(st, "entry-1").Find(context.Background(), id(1))
 		if err != nil || found.Entry.Answer == nil || found.Entry.Answer.Status != 201 {
 			t.Errorf("after the stop Find returned %+v, %v", found, err)
 		}
--- a/internal/record/shard.go
+++ b/internal/record/shard.go
@@ -11,7 +11,7 @@
 // shard batches the changes to one part of the record and writes them in
 // conditional updates, one at a time.
 type shard struct {
-	bk  *Book
+	rc  *Recorder
 	key string
 
 	mu      sync.Mutex
@@ -63,20 +63,20 @@
 // apart, and the changes that arrive in between are written together.
 func (sh *shard) run() {
 	for !sh.stopIfIdle() {
-		sh.bk.Clock.Sleep(sh.reserveWrite())
+		sh.rc.Clock.Sleep(sh.reserveWrite())
 		sh.commitWithRetry(sh.takePending())
 	}
 }
 
 // reserveWrite reserves the next write and returns the delay until it is due.
 func (sh *shard) reserveWrite() time.Duration {
-	now := sh.bk.Clock.Now()
-	earliest := now.Add(-(writeBurst - 1) * sh.bk.WriteInterval)
+	now := sh.rc.Clock.Now()
+	earliest := now.Add(-(writeBurst - 1) * sh.rc.WriteInterval)
 	if sh.nextWrite.Before(earliest) {
 		sh.nextWrite = earliest
 	}
 	wait := max(0, sh.nextWrite.Sub(now))
-	sh.nextWrite = sh.nextWrite.Add(sh.bk.WriteInterval)
+	sh.nextWrite = sh.nextWrite.Add(sh.rc.WriteInterval)
 	return wait
 }
 
@@ -93,8 +93,8 @@
 			sh.requeue(left)
 			return
 		}
-		sh.bk.countRetry(err)
-		sh.bk.Clock.Sleep(backoffOf(err).Pause(try))
+		sh.rc.countRetry(err)
+		sh.rc.Clock.Sleep(backoffOf(err).Delay(try))
 		batch = append(batch, sh.takePending()...)
 	}
 }
@@ -120,7 +120,7 @@
 // is replaced by its withdrawal. Outcomes and withdrawals are kept until their
 // deadline, whether or not the requester still waits.
 func (sh *shard) withoutSettled(batch []*change) []*change {
-	now := sh.bk.Clock.Now()
+	now := sh.rc.Clock.Now()
 	kept := batch[:0]
 	for _, ch := range batch {
 		over := now.After(ch.deadline)
@@ -145,7 +145,7 @@
 func (sh *shard) commit(batch []*change) (left []*change, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	ob, err := sh.bk.Store.Get(ctx, sh.key)
+	ob, err := sh.rc.Store.Get(ctx, sh.key)
 	if err != nil && !platform.IsKind(err, platform.NotFound) {
 		return nil, err
 	}
@@ -153,9 +153,9 @@
 	if err != nil {
 		return nil, err
 	}
-	now := sh.bk.Clock.Now()
+	now := sh.rc.Clock.Now()
 	dropped := pg.expire(now)
-	if err := sh.index.load(ctx, sh.bk.Store, pg.Segments); err != nil {
+	if err := sh.index.load(ctx, sh.rc.Store, pg.Segments); err != nil {
 		return nil, err
 	}
 	done, results, left, modified := sh.apply(pg, batch, now)
@@ -163,7 +163,7 @@
 		if err := sh.write(ctx, pg, ob.Version, done); err != nil {
 			return nil, err
 		}
-		deleteSegments(ctx, sh.bk.Store, dropped)
+		deleteSegments(ctx, sh.rc.Store, dropped)
 	}
 	sh.settle(done, results)
 	return left, nil
@@ -196,15 +196,15 @@
 	if err != nil {
 		return &Error{Op: "encode", Kind: Corrupt, Err: err}
 	}
-	_, err = sh.bk.Store.Update(ctx, sh.key, previous, data)
+	_, err = sh.rc.Store.Update(ctx, sh.key, previous, data)
 	switch {
 	case err == nil:
 		sh.index.addSealed(sealed)
 	case sealed != nil && platform.IsKind(err, platform.Unknown):
-		sh.bk.events[SegmentLeft].Inc(1)
+		sh.rc.events[SegmentLeft].Inc(1)
 	case platform.IsKind(err, platform.Conflict):
 		// The page was not written, so nothing will ever refer to the new segment.
-		sh.index.discard(ctx, sh.bk.Store, sealed)
+		sh.index.discard(ctx, sh.rc.Store, sealed)
 	}
 	return err
 }
@@ -214,11 +214,11 @@
 func (sh *shard) settle(done []*change, results []result) {
 	for ix, ch := range done {
 		if IsKind(results[ix].err, Full) {
-			sh.bk.events[RefusedFull].Inc(1)
+			sh.rc.events[RefusedFull].Inc(1)
 		}
 		wanted := ch.settle(results[ix])
 		if !wanted && ch.op == opBegin && results[ix].claim.Own {
-			until := sh.bk.Clock.Now().Add(finishTimeout)
+			until := sh.rc.Clock.Now().Add(finishTimeout)
 			sh.requeue([]*change{newChange(opWithdraw, ch.entry, until)})
 		}
 	}
