--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -30,7 +30,7 @@
 	"filbertstall.example/filbertstall/internal/metric"
 	"filbertstall.example/filbertstall/internal/refusal"
 	"filbertstall.example/filbertstall/internal/snapshot"
-	"filbertstall.example/filbertstall/internal/steady"
+	"filbertstall.example/filbertstall/internal/writetimeout"
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
@@ -94,7 +94,7 @@
 	se.prepare()
 	stop := context.AfterFunc(ctx, func() { _ = se.Listener.Close() })
 	defer stop()
-	err := se.server.Serve(steady.Listener{Listener: se.Listener, Timeout: se.WriteTimeout})
+	err := se.server.Serve(writetimeout.Listener{Listener: se.Listener, Timeout: se.WriteTimeout})
 	if ctx.Err() != nil || se.stopping.Load() {
 		return nil
 	}
@@ -105,7 +105,7 @@
 	se.refusals = metric.Reasons(se.Scope, "refusals", refusal.Reasons())
 	se.requests = se.Scope.Counter("requests")
 	if se.WriteTimeout == 0 {
-		se.WriteTimeout = steady.DefaultTimeout
+		se.WriteTimeout = writetimeout.DefaultTimeout
 	}
 	se.baseContext, se.cancelWaiting = context.WithCancelCause(context.Background())
 	chain := []filter.Filter{
@@ -204,7 +204,7 @@
 // handleReadError answers a request that fasthttp could not read. It
 // distinguishes the cases by the texts of fasthttp's errors.
 func (se *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
-	if co, ok := ctx.Conn().(*steady.Conn); ok {
+	if co, ok := ctx.Conn().(*writetimeout.Conn); ok {
 		co.MarkUnread()
 	}
 	if strings.Contains(err.Error(), "body size exceeds") {
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -11,7 +11,7 @@
 	"filbertstall.example/filbertstall/internal/dispatch"
 	"filbertstall.example/filbertstall/internal/roster"
 	"filbertstall.example/filbertstall/internal/routing"
-	"filbertstall.example/filbertstall/internal/steady"
+	"filbertstall.example/filbertstall/internal/writetimeout"
 )
 
 // readiness decides the answer to the platform's readiness check.
@@ -43,7 +43,7 @@
 
 // Run implements controller.Controller.
 func (as *auxiliaryServer) Run(ctx context.Context) error {
-	se := fasthttp.Server{Handler: as.handler, NoDefaultServerHeader: true, Logger: steady.QuietLogger{}}
+	se := fasthttp.Server{Handler: as.handler, NoDefaultServerHeader: true, Logger: writetimeout.QuietLogger{}}
 	stop := context.AfterFunc(ctx, func() { _ = as.listener.Close() })
 	defer stop()
 	err := se.Serve(as.listener)
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -16,8 +16,8 @@
 	"filbertstall.example/filbertstall/internal/dispatch"
 	"filbertstall.example/filbertstall/internal/hangup"
 	"filbertstall.example/filbertstall/internal/refusal"
-	"filbertstall.example/filbertstall/internal/steady"
 	"filbertstall.example/filbertstall/internal/upstream"
+	"filbertstall.example/filbertstall/internal/writetimeout"
 )
 
 // Codec decodes requests in a platform's format.
@@ -64,7 +64,7 @@
 	se.server = fasthttp.Server{
 		Handler: se.serve, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 		MaxRequestBodySize: maxBodyBytes, ReadBufferSize: maxHeaderBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
-		CloseOnShutdown: true, DisablePreParseMultipartForm: true, Logger: steady.QuietLogger{},
+		CloseOnShutdown: true, DisablePreParseMultipartForm: true, Logger: writetimeout.QuietLogger{},
 	}
 }
 
@@ -75,7 +75,7 @@
 func (se *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = se.Listener.Close() })
 	defer stop()
-	err := se.server.Serve(steady.Listener{Listener: se.Listener, Timeout: steady.DefaultTimeout})
+	err := se.server.Serve(writetimeout.Listener{Listener: se.Listener, Timeout: writetimeout.DefaultTimeout})
 	if ctx.Err() != nil || se.stopping.Load() {
 		return nil
 	}
--- a/internal/steady/conn.go
+++ b/internal/writetimeout/conn.go
@@ -1,11 +1,11 @@
-// Package steady limits how long a caller that does not read can block a writer,
-// and how much the kernel buffers for it. The timeout applies to each write,
-// because a timeout for a whole answer would interrupt long streams.
+// Package writetimeout limits how long a caller that does not read can block a
+// writer, and how much the kernel buffers for it. The timeout applies to each
+// write, because a timeout for a whole answer would interrupt long streams.
 //
 // # Usage
 //
-//	se.Serve(steady.Listener{Listener: ln, Timeout: steady.DefaultTimeout})
-package steady
+//	se.Serve(writetimeout.Listener{Listener: ln, Timeout: writetimeout.DefaultTimeout})
+package writetimeout
 
 import (
 	"io"
