--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,7 +23,7 @@
 // Request asks for a slot at an endpoint of a service.
 type Request struct {
 	// ID is unique per request. A caller that lost the answer to Acquire
-	// repeats the call with the same ID.
+	// retries the call with the same ID.
 	ID      string
 	Service string
 	Team    string
--- a/internal/allocation/wire.go
+++ b/internal/allocation/wire.go
@@ -19,7 +19,7 @@
 	// group.
 	Sequence int64
 	// Key identifies the request. It is unique among all instances, and stays
-	// the same when the call is repeated.
+	// the same when the call is retried.
 	Key     string
 	Request admission.Request
 	// Suspect means that a request with the same fingerprint was running at an
--- a/internal/call/fleet_test.go
+++ b/internal/call/fleet_test.go
@@ -161,8 +161,8 @@
 	return ep.modes[url]
 }
 
-// startRun logs a call and returns its answer, which differs from the answer of
-// every other run.
+// startRun logs a call and returns its response, which differs from the
+// response of every other run.
 func (ep *endpoints) startRun(re endpoint.Request) string {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
--- a/internal/call/pause_test.go
+++ b/internal/call/pause_test.go
@@ -70,7 +70,7 @@
 
 // Scenario: resends arrive at another instance while the call is in flight. A
 // resend whose deadline is too short is refused as in progress. One with enough
-// time waits and gets the answer of the first call.
+// time waits and gets the response of the first call.
 func TestResendWaitsForTheAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(settleTime)
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -21,7 +21,7 @@
 	// callTimeout bounds one attempt of a request to an instance.
 	callTimeout = 15 * time.Second
 	// maxAttempts is the maximum number of attempts of a request that gets no
-	// response. All requests are safe to repeat: confirming and canceling a plan
+	// response. All requests are safe to retry: confirming and canceling a plan
 	// are idempotent.
 	maxAttempts = 4
 	// retryDelay is the delay after each attempt that got no response.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -23,7 +23,7 @@
 type script = func(net.Conn, *http.Request)
 
 // The type of the route and what the endpoint has proved determine whether a
-// request is repeated.
+// request is retried.
 func TestRepeats(t *testing.T) {
 	for _, ca := range []struct {
 		name    string
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -190,7 +190,7 @@
 	return Reply{Refusal: er}
 }
 
-// work describes the load that a task puts on an endpoint.
+// demand describes the load that a task puts on an endpoint.
 func (di *Dispatcher) demand(ta *task) placement.Demand {
 	dm := placement.Demand{Engine: ta.service.Engine, Prompt: ta.Prompt.Tokens, Output: di.outputEstimator.estimate(ta.route.Name, ta.Prompt)}
 	if ta.service.ColdRate > 0 {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// readBack reads the record to determine whether a write with a lost answer took
-// effect, and returns its version if it did.
+// readBack reads the record to determine whether a write with a lost response
+// took effect, and returns its version if it did.
 func (le *Lease) readBack(ctx context.Context, next Record, lost error) (int64, error) {
 	ob, err := le.Store.Get(ctx, le.Key)
 	if err != nil {
@@ -216,7 +216,7 @@
 }
 
 // handleUpdateError ends the hold on the lease if another instance has written.
-// If a lost answer could not be resolved by readBack, the pending write stays
+// If a lost response could not be resolved by readBack, the pending write stays
 // and the next step reads the record again.
 func (le *Lease) handleUpdateError(op string, err error) error {
 	if !platform.IsKind(err, platform.Conflict) {
--- a/internal/migration/mover_test.go
+++ b/internal/migration/mover_test.go
@@ -283,7 +283,7 @@
 	g.Expect(moved).To(BeFalse())
 }
 
-// fakeTurns reports a decreasing number of runs of other instances.
+// fakeMoveOrder reports a decreasing number of runs of other instances.
 type fakeMoveOrder struct {
 	mu        sync.Mutex
 	ahead     int
--- a/internal/placement/account.go
+++ b/internal/placement/account.go
@@ -7,15 +7,15 @@
 
 // The outcomes.
 const (
-	// Done means that a complete response arrived, or that the attempt ended for a
+	// Done means that a complete answer arrived, or that the attempt ended for a
 	// reason that does not count against the endpoint. For example, the caller
 	// disconnected, the deadline passed or the generation migrated.
 	Done Outcome = iota
-	// Failed means that the endpoint returned an error response.
+	// Failed means that the endpoint returned an error.
 	Failed
 	// Refused means that the endpoint rejected the request without running it.
 	Refused
-	// Lost means that no complete response arrived. The request may have run.
+	// Lost means that no complete answer arrived. The request may have run.
 	Lost
 	// Unreachable means that no connection could be established.
 	Unreachable
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -16,7 +16,7 @@
 //	}
 //
 // A Guard wraps a Store for a process. It limits the rate of calls by priority,
-// retries calls that are safe to repeat, opens a circuit breaker when the platform
+// retries calls where that is safe, opens a circuit breaker when the platform
 // does not respond, and reads back writes whose responses were lost:
 //
 //	gu := &platform.Guard{Store: st, Clock: clock, Scope: scope}
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -37,7 +37,7 @@
 }
 
 // defaultClient does not retry calls, unlike the default of fasthttp. A Guard retries
-// the calls that are safe to repeat.
+// the calls for which that is safe.
 var defaultClient = &fasthttp.Client{
 	NoDefaultUserAgentHeader: true,
 	MaxResponseBodySize:      64 << 20,
--- a/internal/platform/readback.go
+++ b/internal/platform/readback.go
@@ -6,7 +6,7 @@
 )
 
 // conditionalWrite is a write that succeeds only if its object has the version
-// previous, which makes it safe to repeat.
+// previous, which makes it safe to retry.
 type conditionalWrite struct {
 	op, key  string
 	previous int64
@@ -18,10 +18,10 @@
 
 var errUndecided = errors.New("the answer was lost and the object has changed since")
 
-// write repeats a conditional write until its outcome is known or no attempt is
+// write retries a conditional write until its outcome is known or no attempt is
 // left.
 //
-// Repeating is safe because the first copy that arrives changes the version and
+// Retrying is safe because the first copy that arrives changes the version and
 // all other copies conflict. After a lost response, an earlier copy of the same
 // write may have caused the conflict, so the object is read back in that case,
 // too.
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -48,8 +48,8 @@
 	RetryClass RetryClass
 	// Timeout bounds the time from the arrival of a request to its last byte.
 	Timeout time.Duration
-	// Objective is the target time to the response, or to the first event of a
-	// stream. A later response is worth less.
+	// Objective is the target time to the answer, or to the first event of a
+	// stream. A later answer is worth less.
 	Objective time.Duration
 	// MaxGap is the target for the longest time between two events of a stream.
 	MaxGap time.Duration
