--- a/internal/allocation/crash.go
+++ b/internal/allocation/crash.go
@@ -60,8 +60,8 @@
 	}()
 }
 
-// lastBootID returns the boot id that the endpoint had when the holder last
-// sent boot ids, or "" if there is none.
+// lastBootID returns the boot ID that the endpoint had when the holder last
+// sent boot IDs, or "" if there is none.
 func (gt *Granter) lastBootID(pl *place) string {
 	cf := gt.Configuration.Load()
 	en, found := cf.Endpoint(pl.endpoint)
@@ -75,7 +75,7 @@
 }
 
 // crashed reports whether the endpoint no longer listens, or runs under
-// another boot id than the known one. A broken connection alone does not show
+// another boot ID than the known one. A broken connection alone does not show
 // that the endpoint crashed.
 func (gt *Granter) crashed(pl *place, known string) bool {
 	if !gt.reportsLoad(pl.re.Service) {
--- a/internal/allocation/handover_test.go
+++ b/internal/allocation/handover_test.go
@@ -87,7 +87,7 @@
 	return ha
 }
 
-// measureHandovers simulates one handover per seed. It logs the distributions
+// measureHandovers simulates one hand-over per seed. It logs the distributions
 // and returns the longest time without a holder and the fraction of the
 // requests that failed.
 func measureHandovers(t *testing.T, name string, leave func(wo *world, in *instance)) (withoutHolder time.Duration, failed float64) {
--- a/internal/allocation/holder.go
+++ b/internal/allocation/holder.go
@@ -95,7 +95,7 @@
 	listed func(name string) bool
 	// reporting is true if the endpoints publish load reports.
 	reporting bool
-	// warm maps endpoints to the boot ids under which the previous holder saw
+	// warm maps endpoints to the boot IDs under which the previous holder saw
 	// them warm. It is nil if the previous holder's information is too old.
 	warm map[string]string
 
@@ -107,7 +107,7 @@
 	// deferred contains the requests that are not in the decision core's queue
 	// yet.
 	deferred []*request
-	// bootVersion increases whenever an endpoint reports another boot id or
+	// bootVersion increases whenever an endpoint reports another boot ID or
 	// becomes warm or cold.
 	bootVersion int64
 	// failedAt maps endpoints to the time of their last failure. Such an
@@ -271,7 +271,7 @@
 	ho.markFailed(now, name)
 }
 
-// bootList returns the boot ids of all endpoints that have reported.
+// bootList returns the boot IDs of all endpoints that have reported.
 func (ho *holder) bootList() []Boot {
 	var list []Boot
 	for name, re := range ho.reports {
--- a/internal/allocation/holder_test.go
+++ b/internal/allocation/holder_test.go
@@ -108,7 +108,7 @@
 }
 
 // Guards against overload of an endpoint that failed and may have restarted
-// cold. It must not get new work before it has reported its boot id again.
+// cold. It must not get new work before it has reported its boot ID again.
 func TestFailedEndpointWaitsForItsReport(t *testing.T) {
 	gm := NewWithT(t)
 	be := newBench(t, "entry-0")
--- a/internal/allocation/link.go
+++ b/internal/allocation/link.go
@@ -53,7 +53,7 @@
 	started []time.Time
 }
 
-// bootState is the boot id of an endpoint, and whether it has proved warm
+// bootState is the boot ID of an endpoint, and whether it has proved warm
 // since that boot.
 type bootState struct {
 	id   string
@@ -258,7 +258,7 @@
 	}
 }
 
-// warmBoots returns the boot ids of the endpoints that the last holder
+// warmBoots returns the boot IDs of the endpoints that the last holder
 // reported as warm. It returns nil if the last answer of the holder is too
 // old.
 func (li *link) warmBoots(now time.Time) map[string]string {
--- a/internal/allocation/reserve.go
+++ b/internal/allocation/reserve.go
@@ -54,7 +54,7 @@
 // more, the reported requests that this holder does not know. The latter count
 // while a new holder has not received a sync from all members, and while a
 // member counts as dead. It returns false while the number cannot be
-// determined, and while an endpoint that failed has not reported its boot id
+// determined, and while an endpoint that failed has not reported its boot ID
 // again.
 func (ho *holder) requiredReserve(now time.Time, en kind.Endpoint) (int, bool) {
 	reserve := 0
--- a/internal/allocation/wire.go
+++ b/internal/allocation/wire.go
@@ -78,7 +78,7 @@
 	Waiting []string
 	Places  []PlaceSync
 	Ended   []EndedSync
-	// BootVersion is the version of the boot ids that the instance knows.
+	// BootVersion is the version of the boot IDs that the instance knows.
 	BootVersion int64
 }
 
@@ -117,13 +117,13 @@
 	// Unknown lists the places whose endpoint and request the holder needs
 	// with the next sync.
 	Unknown []string
-	// Boots are the endpoints' boot ids. They are sent when the instance has
+	// Boots are the endpoints' boot IDs. They are sent when the instance has
 	// another BootVersion.
 	BootVersion int64
 	Boots       []Boot
 }
 
-// Boot is the boot id that an endpoint last reported.
+// Boot is the boot ID that an endpoint last reported.
 type Boot struct {
 	Endpoint string
 	ID       string
--- a/internal/bench/simulation/allocated.go
+++ b/internal/bench/simulation/allocated.go
@@ -28,7 +28,7 @@
 type allocatedDispatcher struct {
 	ru *run
 	al *admission.Allocator
-	// jobs has the queued and in-flight jobs by id.
+	// jobs has the queued and in-flight jobs by ID.
 	jobs map[string]*job
 	// inFlight lists the jobs on engines in the order of their grants. A slice
 	// keeps the iteration order deterministic.
--- a/internal/bench/simulation/engine.go
+++ b/internal/bench/simulation/engine.go
@@ -36,7 +36,7 @@
 // later.
 type engine struct {
 	name string
-	// boot counts restarts and becomes the boot id of load reports.
+	// boot counts restarts and becomes the boot ID of load reports.
 	boot  int
 	alive bool
 	cold  bool
@@ -189,7 +189,7 @@
 	return lost
 }
 
-// start restarts the engine in the cold state with a new boot id.
+// start restarts the engine in the cold state with a new boot ID.
 func (en *engine) start() {
 	en.boot++
 	en.alive = true
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -88,7 +88,7 @@
 	PID     int    `json:"pid"`
 }
 
-// Address is the URL and process id of a stand-in, which it prints when it is
+// Address is the URL and process ID of a stand-in, which it prints when it is
 // ready.
 type Address struct {
 	URL string `json:"url"`
--- a/internal/generation/cost_test.go
+++ b/internal/generation/cost_test.go
@@ -117,7 +117,7 @@
 }
 
 // BenchmarkRelay measures the relay of one token without the network: the token is
-// read and checked, gets its event id and is returned to the server.
+// read and checked, gets its event ID and is returned to the server.
 func BenchmarkRelay(b *testing.B) {
 	const tokens = 1 << 16
 	answer, eventBytes := recordAnswer(tokens)
--- a/internal/generation/doc.go
+++ b/internal/generation/doc.go
@@ -8,7 +8,7 @@
 //	create := filter.Chain(ha.Create, filters...) // POST /v1/completions
 //	resume := filter.Chain(ha.Resume, filters...) // GET /v1/generations/{id}/events
 //
-// The generation id that callers see is a signed [Token], not to be confused with
-// the tokens of text. It holds the endpoint that runs the generation and the
-// generation's id there, so that any instance can resume the stream.
+// The generation ID that callers see is a signed [Token], not to be confused
+// with the tokens of text. It holds the endpoint that runs the generation and
+// the generation's ID there, so that any instance can resume the stream.
 package generation
--- a/internal/generation/event.go
+++ b/internal/generation/event.go
@@ -14,8 +14,8 @@
 	waitingEvent = []byte(": waiting\n\n")
 )
 
-// appendEvent appends an engine's event as a server-sent event to the caller. Its id
-// is "<token>/<offset>", where token is the signed generation id.
+// appendEvent appends an engine's event as a server-sent event to the caller.
+// Its ID is "<token>/<offset>", where token is the signed generation ID.
 func appendEvent(line []byte, token string, ev *endpoint.Event) []byte {
 	line = append(line, "id: "...)
 	line = append(line, token...)
@@ -38,13 +38,14 @@
 // down or the caller reads too slowly. The caller can resume at any instance.
 type handover struct {
 	Path string `json:"path"`
-	// LastEventID is the id of the last event that was sent, empty if no token
+	// LastEventID is the ID of the last event that was sent, empty if no token
 	// has been sent yet.
 	LastEventID string `json:"last_event_id,omitempty"`
 }
 
-// appendHandover appends the event that tells the caller how to resume. The given
-// offset is that of the next token of text, and token is the signed generation id.
+// appendHandover appends the event that tells the caller how to resume. The
+// given offset is that of the next token of text, and token is the signed
+// generation ID.
 func appendHandover(line []byte, token string, offset int64) []byte {
 	ho := handover{Path: eventsPath(token)}
 	if offset > 0 {
--- a/internal/generation/fake_test.go
+++ b/internal/generation/fake_test.go
@@ -42,7 +42,7 @@
 type engine struct {
 	kind.Endpoint
 	up bool
-	// running maps the ids of the started generations to their seeds.
+	// running maps the IDs of the started generations to their seeds.
 	running map[string]string
 	// restarts counts the engine's restarts. It is part of the text of an engine
 	// that cannot continue, so that a second run of a generation differs from the
--- a/internal/generation/handler.go
+++ b/internal/generation/handler.go
@@ -134,7 +134,7 @@
 	return hex.EncodeToString(raw[:]), err
 }
 
-// lastEventIDHeader carries the id of the last event that the caller received.
+// lastEventIDHeader carries the ID of the last event that the caller received.
 const lastEventIDHeader = "Last-Event-ID"
 
 // Resume serves GET /v1/generations/{id}/events. It streams the generation from
--- a/internal/generation/recovery.go
+++ b/internal/generation/recovery.go
@@ -149,7 +149,7 @@
 }
 
 // rejoin reconnects to the granted engine. If the engine has not answered yet, the
-// start is retried. This is idempotent: the id is the same, so an engine that
+// start is retried. This is idempotent: the ID is the same, so an engine that
 // received the first start connects the call to that generation.
 func (se *session) rejoin() error {
 	se.resumes++
--- a/internal/generation/relay.go
+++ b/internal/generation/relay.go
@@ -32,7 +32,7 @@
 // size.
 type relay struct {
 	se *session
-	// token is the generation id that the caller sees. It becomes final with the
+	// token is the generation ID that the caller sees. It becomes final with the
 	// first token of text. Before that, the generation may restart at another
 	// engine, and the abandoned run at the first engine must not be resumed.
 	token      string
@@ -188,9 +188,9 @@
 }
 
 // finish ends the session after the response ended with err, nil if it is
-// complete. If the caller hung up or reads too slowly, the generation is canceled
-// after ResumeGrace. After a handover it keeps running at its engine, and after any
-// other failure it is canceled at once.
+// complete. If the caller hung up or reads too slowly, the generation is
+// canceled after ResumeGrace. After a hand-over it keeps running at its
+// engine, and after any other failure it is canceled at once.
 func (se *session) finish(err error) {
 	se.disconnect()
 	defer se.cancel(errCallerGone)
--- a/internal/generation/schedule_test.go
+++ b/internal/generation/schedule_test.go
@@ -171,7 +171,7 @@
 
 // TestRestartMovesToken: if a generation restarts at another engine before its
 // first token, it must be resumed only at the engine that made that token, although
-// the first engine still runs a generation of the same id.
+// the first engine still runs a generation of the same ID.
 func TestRestartMovesToken(t *testing.T) {
 	dp := newDeployment(2, func(ix int) bool { return ix == 0 })
 	dp.engines[0].faults = []fault{faultCut, faultCut, faultCut, faultCut}
--- a/internal/generation/session.go
+++ b/internal/generation/session.go
@@ -48,7 +48,7 @@
 	resumes int
 	// engines counts the engines that may have started the generation, moves
 	// counts all attempted moves including the first start, and grants counts
-	// all requests for a grant. The value of grants is part of each grant's id.
+	// all requests for a grant. The value of grants is part of each grant's ID.
 	engines, moves, grants int
 	// nonStreaming is set if the caller receives the response only when it is
 	// complete, so that the generation may restart at any time. restarted is set
@@ -71,8 +71,8 @@
 	se.ctx, se.cancel = context.WithCancelCause(context.WithoutCancel(se.ctx))
 }
 
-// seedOf derives a generation's seed from its id, so that any instance that has
-// the id continues the generation with the same seed. It returns zero for an id
+// seedOf derives a generation's seed from its ID, so that any instance that has
+// the ID continues the generation with the same seed. It returns zero for an ID
 // that is not at least 8 hexadecimal digits.
 func seedOf(id string) uint64 {
 	raw, err := hex.DecodeString(id)
@@ -82,7 +82,7 @@
 	return uint64(binary.LittleEndian.Uint32(raw))
 }
 
-// acquire waits for a place and stores its grant. Each grant has an id of its
+// acquire waits for a place and stores its grant. Each grant has an ID of its
 // own, so that two instances that serve the same generation do not share a place.
 func (se *session) acquire(re admission.Request) error {
 	se.grants++
--- a/internal/generation/token.go
+++ b/internal/generation/token.go
@@ -14,9 +14,9 @@
 const macBytes = 16
 
 // Token holds what an instance needs to resume a generation that another
-// instance started. Signed, it is the generation id that callers see.
+// instance started. Signed, it is the generation ID that callers see.
 type Token struct {
-	// ID is the generation's id at the engine.
+	// ID is the generation's ID at the engine.
 	ID string `json:"i"`
 	// Endpoint is the name of the endpoint that ran the generation when the
 	// token was signed.
@@ -84,8 +84,8 @@
 	return base64.RawURLEncoding.Strict().EncodeToString(ha.Sum(nil)[:macBytes])
 }
 
-// splitEventID splits an event id of the form "<generation>/<offset>". It reports
-// false if there is no slash.
+// splitEventID splits an event ID of the form "<generation>/<offset>". It
+// reports false if there is no slash.
 func splitEventID(text string) (token, offset string, ok bool) {
 	cut := strings.LastIndexByte(text, '/')
 	if cut < 0 {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -82,7 +82,7 @@
 	stateMu sync.Mutex
 	running []*generation
 	waiting []*generation
-	// generations has all generations that can be resumed, by id.
+	// generations has all generations that can be resumed, by ID.
 	generations map[string]*generation
 	// prefixes is the prefix cache. Its keys are hashes of prefixes, and its
 	// values are not read.
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -53,9 +53,10 @@
 	Match string `json:"match,omitempty"`
 }
 
-// Call is an element of the answer to GET /standin/calls. Key is the idempotency
-// key of a call or the id of a generation, Offset is the number of tokens that the
-// caller of a generation already has, and At is a time in RFC 3339 format.
+// Call is an element of the answer to GET /standin/calls. Key is the
+// idempotency key of a call or the ID of a generation, Offset is the number of
+// tokens that the caller of a generation already has, and At is a time in RFC
+// 3339 format.
 type Call struct {
 	Key    string `json:"key"`
 	Path   string `json:"path"`
