--- a/internal/allocation/holder_test.go
+++ b/internal/allocation/holder_test.go
@@ -108,7 +108,7 @@
 }
 
 // Guards against overload of an endpoint that failed and may have restarted
-// cold. It must not get new work before it has reported its boot id again.
+// cold. It must not get new work before it has reported its boot ID again.
 func TestFailedEndpointWaitsForItsReport(t *testing.T) {
 	gm := NewWithT(t)
 	be := newBench(t, "entry-0")
@@ -273,7 +273,7 @@
 			for _, in := range wo.instances {
 				go func() {
 					tried.Add(1)
-					if result, _ := wo.serve(ctx, in, "r", uint64(tried.Load()), 2*time.Second); result == admission.Whole {
+					if result, _ := wo.serve(ctx, in, "r", uint64(tried.Load()), 2*time.Second); result == admission.Completed {
 						whole.Add(1)
 					}
 				}()
--- a/internal/bench/simulation/allocated.go
+++ b/internal/bench/simulation/allocated.go
@@ -28,7 +28,7 @@
 type allocatedDispatcher struct {
 	ru *run
 	al *admission.Allocator
-	// jobs has the queued and in-flight jobs by id.
+	// jobs has the queued and in-flight jobs by ID.
 	jobs map[string]*job
 	// inFlight lists the jobs on engines in the order of their grants. A slice
 	// keeps the iteration order deterministic.
@@ -48,7 +48,7 @@
 		ad.al.QueueLimit, ad.al.QueueWait = math.MaxInt, unlimited
 	}
 	if oracle {
-		ad.al.Known = func(re admission.Request) int64 { return int64(ad.jobs[re.ID].length) }
+		ad.al.KnownLength = func(re admission.Request) int64 { return int64(ad.jobs[re.ID].length) }
 	}
 	var list []admission.Candidate
 	for _, en := range ru.engines {
@@ -162,7 +162,7 @@
 func (ad *allocatedDispatcher) ended(jo *job, re admission.Result) {
 	ad.su.ended(jo, re)
 	ad.finish(jo, re)
-	if re == admission.Whole {
+	if re == admission.Completed {
 		delete(ad.jobs, jo.id)
 	}
 	ad.decide()
--- a/internal/call/fleet_test.go
+++ b/internal/call/fleet_test.go
@@ -161,8 +161,8 @@
 	return ep.modes[url]
 }
 
-// startRun logs a call and returns its answer, which differs from the answer of
-// every other run.
+// startRun logs a call and returns its response, which differs from the
+// response of every other run.
 func (ep *endpoints) startRun(re endpoint.Request) string {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
@@ -221,7 +221,7 @@
 	alive := se.in.crossBoundary()
 	switch {
 	case work > re.Timeout:
-		return fail(endpoint.Silent)
+		return fail(endpoint.TimedOut)
 	case !alive || mode == endpointLosesResponses || se.in.isUnreachable(url):
 		return fail(endpoint.Lost)
 	}
@@ -281,9 +281,9 @@
 	guard := &platform.Guard{Store: processStore{Store: in.link, in: in}, Clock: clock}
 	name := "entry-" + strconv.Itoa(len(fl.instances))
 	in.handler = &call.Handler{
-		Granter: &admission.Local{Configuration: &in.holder}, Sender: sender{in: in, endpoints: fl.endpoints},
-		Book:  &record.Book{Store: guard.For(platform.ClassRecord), Instance: name, Clock: clock, Log: zerolog.Nop()},
-		Clock: clock, Log: zerolog.Nop(),
+		Granter: &admission.LocalGranter{Configuration: &in.holder}, Sender: sender{in: in, endpoints: fl.endpoints},
+		Recorder: &record.Recorder{Store: guard.For(platform.ClassRecord), Instance: name, Clock: clock, Log: zerolog.Nop()},
+		Clock:    clock, Log: zerolog.Nop(),
 	}
 	fl.instances = append(fl.instances, in)
 	return in
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -23,7 +23,7 @@
 type script = func(net.Conn, *http.Request)
 
 // The type of the route and what the endpoint has proved determine whether a
-// request is repeated.
+// request is retried.
 func TestRepeats(t *testing.T) {
 	for _, ca := range []struct {
 		name    string
@@ -70,7 +70,7 @@
 func (ha *harness) preferInOrder() {
 	for ix, rp := range ha.replicas {
 		for range ix {
-			ha.Board.Begin(roster.Endpoint{ID: rp.id}, placement.Work{})
+			ha.Tracker.Begin(roster.Endpoint{ID: rp.id}, placement.Demand{})
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	g.Expect(reasonOf(rp)).To(Equal(refusal.TimedOut))
 	g.Expect(ha.replicas[0].lastHeader().Get("Left")).To(BeElementOf("79", "80", "78", "77"))
 	re := ha.request("/read/")
-	re.Budget = 30 * time.Millisecond
+	re.CallerTimeout = 30 * time.Millisecond
 	g.Expect(reasonOf(ha.Serve(context.Background(), re))).To(Equal(refusal.TimedOut))
 }
 
@@ -235,7 +235,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(rp.Events.Close()).To(Succeed())
 	g.Expect(log.String()).To(ContainSubstring(`"event":"stream_given_up"`))
-	g.Expect(ha.Board.Loads()).To(BeEmpty())
+	g.Expect(ha.Tracker.Loads()).To(BeEmpty())
 	before := log.Len()
 	g.Expect(rp.Events.Close()).To(Succeed())
 	g.Expect(log.Len()).To(Equal(before), "a stream ends only once")
@@ -250,7 +250,7 @@
 }
 
 func (mo *moverOnce) Add(ru *migration.Run) {
-	ru.Complete(migration.Moved{From: ru.Endpoint(), Handle: "h1", Target: mo.target, Ticket: mo.harness.Board.Begin(mo.target, placement.Work{})})
+	ru.Complete(migration.Moved{From: ru.Endpoint(), Handle: "h1", Target: mo.target, Ticket: mo.harness.Tracker.Begin(mo.target, placement.Demand{})})
 }
 
 func (mo *moverOnce) Remove(*migration.Run) { mo.removed = true }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -24,20 +24,20 @@
 // Dispatcher answers requests. Set the exported fields before the first
 // request. It is safe for concurrent use.
 type Dispatcher struct {
-	State  *routing.State
-	Roster *roster.Roster
-	Board  *placement.Board
-	Budget *budget.Window
-	Sender Sender
-	Codec  Codec
-	Clock  clockwork.Clock
-	Log    zerolog.Logger
-	// Ages returns the limits on how old the store's confirmation of the
+	State   *routing.State
+	Roster  *roster.Roster
+	Tracker *placement.LoadTracker
+	Budget  *budget.Window
+	Sender  Sender
+	Codec   Codec
+	Clock   clockwork.Clock
+	Log     zerolog.Logger
+	// MaxAges returns the limits on how old the store's confirmation of the
 	// configuration may be.
-	Ages func() Ages
-	// Members returns how many instances share the rate at which a cold
+	MaxAges func() MaxAges
+	// InstanceCount returns how many instances share the rate at which a cold
 	// endpoint takes requests.
-	Members func() int
+	InstanceCount func() int
 	// Runs registers streams whose runs can be migrated. If nil, no run is
 	// migrated.
 	Runs Runs
@@ -52,9 +52,9 @@
 	outputEstimator outputEstimator
 }
 
-// Ages limits the staleness of the configuration that a decision may rest on,
-// counted from the time at which the store last confirmed it.
-type Ages struct {
+// MaxAges limits the staleness of the configuration that a decision may rest
+// on, counted from the time at which the store last confirmed it.
+type MaxAges struct {
 	// Key is the limit for accepting a caller's key as still valid.
 	Key time.Duration
 	// Deny is the limit for permanently refusing a request because its route or
@@ -98,7 +98,7 @@
 		return di.refuse(re, err)
 	}
 	di.Budget.Arrived(ta.service.Name)
-	if ta.route.Repeat == routing.Streaming {
+	if ta.route.RetryClass == routing.Streaming {
 		return di.serveStream(ctx, ta)
 	}
 	return di.serveBuffered(ctx, ta)
@@ -125,7 +125,7 @@
 		switch {
 		case !re.HasKey || !known:
 			return nil, di.deny(age, refusal.New(refusal.Unauthenticated, "the key is not known"))
-		case age > di.Ages().Key:
+		case age > di.MaxAges().Key:
 			return nil, di.staleRefusal(age, "keys")
 		}
 		ta.team = team.Name
@@ -137,7 +137,7 @@
 	if er := di.checkSuspect(ta); er != nil {
 		return nil, er
 	}
-	ta.deadline = re.Arrived.Add(requestTimeout(route.Timeout, re.Budget))
+	ta.deadline = re.Arrived.Add(requestTimeout(route.Timeout, re.CallerTimeout))
 	return ta, nil
 }
 
@@ -152,7 +152,7 @@
 // and otherwise a temporary refusal, since a newer configuration may allow the
 // request.
 func (di *Dispatcher) deny(age time.Duration, er *refusal.Error) *refusal.Error {
-	if age <= di.Ages().Deny {
+	if age <= di.MaxAges().Deny {
 		return er
 	}
 	return di.staleRefusal(age, "routes")
@@ -190,19 +190,19 @@
 	return Reply{Refusal: er}
 }
 
-// work describes the load that a task puts on an endpoint.
-func (di *Dispatcher) work(ta *task) placement.Work {
-	wo := placement.Work{Engine: ta.service.Engine, Prompt: ta.Prompt.Tokens, Output: di.outputEstimator.estimate(ta.route.Name, ta.Prompt)}
+// demand describes the load that a task puts on an endpoint.
+func (di *Dispatcher) demand(ta *task) placement.Demand {
+	dm := placement.Demand{Engine: ta.service.Engine, Prompt: ta.Prompt.Tokens, Output: di.outputEstimator.estimate(ta.route.Name, ta.Prompt)}
 	if ta.service.ColdRate > 0 {
-		wo.ColdRate = max(ta.service.ColdRate/float64(max(di.Members(), 1)), 1)
+		dm.ColdRate = max(ta.service.ColdRate/float64(max(di.InstanceCount(), 1)), 1)
 	}
-	return wo
+	return dm
 }
 
 // chooseEndpoint returns a ready endpoint that the task has not tried yet.
-func (di *Dispatcher) chooseEndpoint(ta *task, wo placement.Work) (roster.Endpoint, *refusal.Error) {
+func (di *Dispatcher) chooseEndpoint(ta *task, dm placement.Demand) (roster.Endpoint, *refusal.Error) {
 	ready := di.Roster.View().Ready(ta.service.Name)
-	ch, found := di.Board.Choose(ready, wo, ta.tried)
+	ch, found := di.Tracker.Choose(ready, dm, ta.tried)
 	if found {
 		di.logPlacement(ta, ch, len(ready))
 		return ch.Endpoint, nil
@@ -219,7 +219,7 @@
 		return
 	}
 	di.Log.Info().Str("event", "placed").Str("request", ta.ID).Str("endpoint", ch.Endpoint.ID).Str("zone", ch.Endpoint.Zone).
-		Float64("cost_ms", ch.Cost).Int("running", ch.Load.Running).Int("reading", ch.Load.Reading).Int("held", ch.Load.Held).
+		Float64("cost_ms", ch.Cost).Int("running", ch.Load.Running).Int("reading", ch.Load.PrefillTokens).Int("held", ch.Load.ReservedTokens).
 		Int("ready", ready).Int("prompt", ta.Prompt.Tokens).Msg("dispatch: engine chosen")
 }
 
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -34,7 +34,7 @@
 	ca := upstream.Call{
 		Address: at.Endpoint.Address, Method: re.Method, Target: re.Target, Host: re.Host, ID: re.ID, Body: re.Body, MaxIdle: at.MaxIdle,
 		Headers: []upstream.Header{
-			{Name: "Id", Value: re.ID}, {Name: "Team", Value: at.Team}, {Name: "Left", Value: strconv.FormatInt(at.Left.Milliseconds(), 10)},
+			{Name: "Id", Value: re.ID}, {Name: "Team", Value: at.Team}, {Name: "Left", Value: strconv.FormatInt(at.Remaining.Milliseconds(), 10)},
 		},
 	}
 	if at.Standby != "" {
@@ -154,11 +154,11 @@
 	boot.Advance(time.Hour)
 	ha := &harness{t: t, boot: boot, Dispatcher: &Dispatcher{
 		State: &routing.State{Clock: boot}, Roster: &roster.Roster{Clock: clock, Log: zerolog.Nop()},
-		Board:  &placement.Board{Clock: clock, Zone: "a", Instance: "i"},
-		Budget: &budget.Window{Clock: clock, Span: time.Minute, Extra: func() float64 { return 2 }},
-		Sender: &upstream.Pool{IDHeader: "Id", Clock: clock}, Codec: testCodec{}, Clock: clock, Log: zerolog.Nop(),
-		Ages:    func() Ages { return Ages{Key: 4 * time.Second, Deny: 4 * time.Second} },
-		Members: func() int { return 1 },
+		Tracker: &placement.LoadTracker{Clock: clock, Zone: "a", Instance: "i"},
+		Budget:  &budget.Window{Clock: clock, Span: time.Minute, Extra: func() float64 { return 2 }},
+		Sender:  &upstream.Pool{IDHeader: "Id", Clock: clock}, Codec: testCodec{}, Clock: clock, Log: zerolog.Nop(),
+		MaxAges:       func() MaxAges { return MaxAges{Key: 4 * time.Second, Deny: 4 * time.Second} },
+		InstanceCount: func() int { return 1 },
 	}}
 	var list []feed.Object[roster.Endpoint]
 	for ix, script := range scripts {
@@ -187,15 +187,15 @@
 func (ha *harness) configure(version int64, keys ...string) {
 	shares := []routing.Share{{Service: "s", Weight: 1}}
 	const timeout = 2 * time.Second
-	engine := &routing.Engine{Slots: 4, MemoryTokens: 10_000, Migrates: true, Standbys: true, TokensPerEvent: 4}
+	engine := &routing.Engine{Slots: 4, MemoryTokens: 10_000, Migrates: true, KeepsStandbyCopies: true, TokensPerEvent: 4}
 	ha.State.Put(routing.New(routing.Spec{
 		Version: version,
 		Routes: []routing.Route{
-			{Host: "h", PathPrefix: "/read/", Repeat: routing.Idempotent, MaxAttempts: 2, Timeout: timeout, Shares: shares},
-			{Host: "h", PathPrefix: "/post/", Repeat: routing.AtMostOnce, MaxAttempts: 2, Timeout: timeout, Shares: shares},
-			{Host: "h", PathPrefix: "/stream/", Repeat: routing.Streaming, MaxAttempts: 1, Timeout: timeout, Shares: shares},
-			{Host: "h", PathPrefix: "/brief/", Repeat: routing.AtMostOnce, MaxAttempts: 1, Timeout: 80 * time.Millisecond, Shares: shares},
-			{Host: "h", PathPrefix: "/public/", Repeat: routing.Idempotent, MaxAttempts: 1, Timeout: timeout, Public: true, Shares: shares},
+			{Host: "h", PathPrefix: "/read/", RetryClass: routing.Idempotent, MaxAttempts: 2, Timeout: timeout, Shares: shares},
+			{Host: "h", PathPrefix: "/post/", RetryClass: routing.AtMostOnce, MaxAttempts: 2, Timeout: timeout, Shares: shares},
+			{Host: "h", PathPrefix: "/stream/", RetryClass: routing.Streaming, MaxAttempts: 1, Timeout: timeout, Shares: shares},
+			{Host: "h", PathPrefix: "/brief/", RetryClass: routing.AtMostOnce, MaxAttempts: 1, Timeout: 80 * time.Millisecond, Shares: shares},
+			{Host: "h", PathPrefix: "/public/", RetryClass: routing.Idempotent, MaxAttempts: 1, Timeout: timeout, Public: true, Shares: shares},
 		},
 		Services: []routing.Service{{Name: "s", Engine: engine}},
 		Limits:   routing.Limits{BodyBytes: 1000},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -79,12 +79,12 @@
 	settings    snapshot.Holder[Settings]
 	state       routing.State
 	roster      roster.Roster
-	board       placement.Board
+	tracker     placement.LoadTracker
 	members     loadshare.Members
 	relay       relay.Log
 	relaySwitch relay.Switch
 	suspects    *suspicion.Registry
-	turns       loadshare.Turns
+	moveOrder   loadshare.MoveOrder
 	pool        upstream.Pool
 	ingress     ingress.Server
 	ready       *readiness
@@ -132,9 +132,9 @@
 
 // maxAges returns the maximum ages of the store's confirmations by the current
 // settings.
-func (gw *Gateway) maxAges() dispatch.Ages {
+func (gw *Gateway) maxAges() dispatch.MaxAges {
 	se := gw.settings.Load()
-	return dispatch.Ages{Key: se.maxKeyAge(), Deny: se.maxDenyAge()}
+	return dispatch.MaxAges{Key: se.maxKeyAge(), Deny: se.maxDenyAge()}
 }
 
 // staleAfter is the age of the store's last confirmation above which engines are
@@ -148,7 +148,7 @@
 // draining, because it gets no current data from the store.
 func (gw *Gateway) engineStatesStale() bool {
 	age, confirmed := gw.state.Age()
-	return confirmed && (age > staleAfter || gw.roster.Silent() || gw.relaySwitch.Silent())
+	return confirmed && (age > staleAfter || gw.roster.StoreUnresponsive() || gw.relaySwitch.StoreUnresponsive())
 }
 
 // build creates the components of the instance and returns its controllers.
@@ -156,18 +156,18 @@
 	se := gw.Settings
 	gw.settings.Store(&se)
 	gw.state = routing.State{Clock: gw.Boot}
-	gw.board = placement.Board{Clock: gw.Clock, Zone: se.Zone, Instance: se.Instance, Changes: make(chan struct{}, 1)}
-	gw.turns = loadshare.Turns{Instance: se.Instance, Changes: gw.board.Changes}
+	gw.tracker = placement.LoadTracker{Clock: gw.Clock, Zone: se.Zone, Instance: se.Instance, Changes: make(chan struct{}, 1)}
+	gw.moveOrder = loadshare.MoveOrder{Instance: se.Instance, Changes: gw.tracker.Changes}
 	gw.pool = upstream.Pool{IDHeader: gw.Adapter.IDHeader, Clock: gw.Clock}
 	engines := gw.Adapter.Engines(&gw.pool)
-	mover := &migration.Mover{Engines: engines, Roster: &gw.roster, Board: &gw.board, Clock: gw.Clock, Log: gw.Log, Turns: &gw.turns}
-	gw.roster = roster.Roster{Clock: gw.Clock, Log: gw.Log, OnLeave: mover.Leaving, OnChange: gw.relay.Observe}
+	mover := &migration.Mover{Engines: engines, Roster: &gw.roster, Tracker: &gw.tracker, Clock: gw.Clock, Log: gw.Log, MoveOrder: &gw.moveOrder}
+	gw.roster = roster.Roster{Clock: gw.Clock, Log: gw.Log, OnLeave: mover.Evacuate, OnChange: gw.relay.Observe}
 	gw.relay = relay.Log{Boot: gw.Boot, Roster: &gw.roster, State: &gw.state, Now: gw.Clock.Now, Epoch: gw.Clock.Now().UnixNano()}
 	gw.suspects = &suspicion.Registry{Caller: &peer.Client{}, Peers: gw.crashRecipients, Clock: gw.Clock}
 	hangups := &hangup.Watcher{Clock: gw.Clock}
 	di := &dispatch.Dispatcher{
-		State: &gw.state, Roster: &gw.roster, Board: &gw.board, Sender: &gw.pool, Codec: gw.Adapter.Codec, Clock: gw.Clock, Log: gw.Log,
-		Budget: se.budget(gw.Clock, gw.instanceCount), Ages: gw.maxAges, Members: gw.instanceCount,
+		State: &gw.state, Roster: &gw.roster, Tracker: &gw.tracker, Sender: &gw.pool, Codec: gw.Adapter.Codec, Clock: gw.Clock, Log: gw.Log,
+		Budget: se.budget(gw.Clock, gw.instanceCount), MaxAges: gw.maxAges, InstanceCount: gw.instanceCount,
 		Runs: mover, Suspects: gw.suspects, Reachable: gw.pool.Reachable, Meter: &dispatch.Meter{Scope: gw.metrics.Scope},
 	}
 	gw.ingress = ingress.Server{Listener: li.callers, Codec: gw.Adapter.Codec, Dispatcher: di, Hangups: hangups, Clock: gw.Clock, Log: gw.Log}
@@ -175,7 +175,7 @@
 	gw.ready = &readiness{state: &gw.state, roster: &gw.roster, maxAges: gw.maxAges}
 	controllers := []controller.Controller{
 		hangups, &gw.ingress, &expirer{gw: gw},
-		&healthcheck.Checker{Engines: engines, Runs: mover.Endpoints, Stale: gw.engineStatesStale, Leave: gw.roster.Leave, Clock: gw.Clock, Log: gw.Log},
+		&healthcheck.Checker{Engines: engines, Runs: mover.Endpoints, StoreStale: gw.engineStatesStale, Leave: gw.roster.Leave, Clock: gw.Clock, Log: gw.Log},
 		&auxiliaryServer{name: "readiness", listener: li.readiness, handler: gw.serveReady},
 	}
 	if li.metrics != nil {
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -11,14 +11,14 @@
 	"filbertstall.example/filbertstall/internal/dispatch"
 	"filbertstall.example/filbertstall/internal/roster"
 	"filbertstall.example/filbertstall/internal/routing"
-	"filbertstall.example/filbertstall/internal/steady"
+	"filbertstall.example/filbertstall/internal/writetimeout"
 )
 
 // readiness decides the answer to the platform's readiness check.
 type readiness struct {
 	state    *routing.State
 	roster   *roster.Roster
-	maxAges  func() dispatch.Ages
+	maxAges  func() dispatch.MaxAges
 	stopping atomic.Bool
 }
 
@@ -43,7 +43,7 @@
 
 // Run implements controller.Controller.
 func (as *auxiliaryServer) Run(ctx context.Context) error {
-	se := fasthttp.Server{Handler: as.handler, NoDefaultServerHeader: true, Logger: steady.QuietLogger{}}
+	se := fasthttp.Server{Handler: as.handler, NoDefaultServerHeader: true, Logger: writetimeout.QuietLogger{}}
 	stop := context.AfterFunc(ctx, func() { _ = as.listener.Close() })
 	defer stop()
 	err := se.Serve(as.listener)
@@ -78,11 +78,11 @@
 			return nil
 		case <-ti.Chan():
 		}
-		ex.gw.roster.Tick()
+		ex.gw.roster.RemoveExpired()
 		if tick%ticksPerPrune == 0 {
 			ex.gw.pool.Prune()
 			vi := ex.gw.roster.View()
-			ex.gw.board.Forget(func(id string) bool { _, known := vi.Get(id); return known })
+			ex.gw.tracker.Forget(func(id string) bool { _, known := vi.Get(id); return known })
 		}
 	}
 }
--- a/internal/generation/recovery.go
+++ b/internal/generation/recovery.go
@@ -107,7 +107,7 @@
 // move to another one, because then a few more attempts cost little.
 func (se *session) canRejoin(cause error) bool {
 	switch {
-	case endpoint.IsKind(cause, endpoint.Lost), endpoint.IsKind(cause, endpoint.Silent), endpoint.IsKind(cause, endpoint.Crossed):
+	case endpoint.IsKind(cause, endpoint.Lost), endpoint.IsKind(cause, endpoint.TimedOut), endpoint.IsKind(cause, endpoint.Mismatched):
 		return true
 	case endpoint.IsKind(cause, endpoint.Failed), endpoint.IsKind(cause, endpoint.Refused):
 		return se.connected
@@ -134,14 +134,14 @@
 	if se.ha.Retries == nil {
 		return true
 	}
-	tr := retry.Try{Service: se.re.Service, Number: 1, Reason: retry.Lost, Idempotent: true}
+	at := retry.Attempt{Service: se.re.Service, Number: 1, Reason: retry.Lost, Idempotent: true}
 	switch resultOf(cause) {
 	case admission.NotBegun:
-		tr.Reason = retry.NotBegun
+		at.Reason = retry.NotBegun
 	case admission.Failed:
-		tr.Reason = retry.Failed
+		at.Reason = retry.Failed
 	}
-	pause, again := se.ha.Retries.Again(tr)
+	pause, again := se.ha.Retries.Decide(at)
 	if again {
 		se.ha.Clock.Sleep(pause)
 	}
@@ -149,7 +149,7 @@
 }
 
 // rejoin reconnects to the granted engine. If the engine has not answered yet, the
-// start is repeated. This is idempotent: the id is the same, so an engine that
+// start is retried. This is idempotent: the ID is the same, so an engine that
 // received the first start connects the call to that generation.
 func (se *session) rejoin() error {
 	se.resumes++
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -26,7 +26,7 @@
 
 // Lease is one instance's handle on a lease. Set the exported fields before the
 // first call. It is safe for concurrent use, except that only one goroutine may
-// call Step and Act.
+// call Step and TakeOrRenew.
 type Lease struct {
 	Store platform.Store
 	Clock clockwork.Clock
@@ -92,7 +92,7 @@
 	if err := le.Observe(ob); err != nil {
 		return err
 	}
-	return le.Act(ctx)
+	return le.TakeOrRenew(ctx)
 }
 
 // Observe records the stored object, whose version is zero if there is none.
@@ -127,9 +127,9 @@
 	le.maxEpoch = max(le.maxEpoch, re.Epoch)
 }
 
-// Act takes or renews the lease if that is due. It does nothing before the first
-// Observe.
-func (le *Lease) Act(ctx context.Context) error {
+// TakeOrRenew takes or renews the lease if that is due. It does nothing before
+// the first Observe.
+func (le *Lease) TakeOrRenew(ctx context.Context) error {
 	next, op := le.next()
 	if op == "" {
 		return nil
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// readBack reads the record to determine whether a write with a lost answer took
-// effect, and returns its version if it did.
+// readBack reads the record to determine whether a write with a lost response
+// took effect, and returns its version if it did.
 func (le *Lease) readBack(ctx context.Context, next Record, lost error) (int64, error) {
 	ob, err := le.Store.Get(ctx, le.Key)
 	if err != nil {
@@ -216,7 +216,7 @@
 }
 
 // handleUpdateError ends the hold on the lease if another instance has written.
-// If a lost answer could not be resolved by readBack, the pending write stays
+// If a lost response could not be resolved by readBack, the pending write stays
 // and the next step reads the record again.
 func (le *Lease) handleUpdateError(op string, err error) error {
 	if !platform.IsKind(err, platform.Conflict) {
--- a/internal/migration/doc.go
+++ b/internal/migration/doc.go
@@ -14,8 +14,8 @@
 //
 // # Usage
 //
-//	mo := &migration.Mover{Engines: engines, Roster: ro, Board: bo, Clock: clock, Log: log, Turns: turns}
-//	ro.OnLeave = mo.Leaving
+//	mo := &migration.Mover{Engines: engines, Roster: ro, Tracker: lt, Clock: clock, Log: log, MoveOrder: order}
+//	ro.OnLeave = mo.Evacuate
 //	ru := &migration.Run{ID: id, Service: service, ...}
 //	ru.SetEndpoint(en)
 //	mo.Add(ru)
--- a/internal/migration/mover_test.go
+++ b/internal/migration/mover_test.go
@@ -56,7 +56,7 @@
 	return Copied{Handle: "h-" + target, Events: 1}, nil
 }
 
-// noOtherInstances is the Turns of a single instance.
+// noOtherInstances is the MoveOrder of a single instance.
 type noOtherInstances struct{}
 
 func (noOtherInstances) Announce(string, int) {}
@@ -78,7 +78,7 @@
 	ro.Reset(list)
 	fe := &fakeEngines{answer: answer}
 	return &harness{engines: fe, Mover: &Mover{
-		Engines: fe, Roster: ro, Board: &placement.Board{Clock: clock, Zone: "a"}, Clock: clock, Log: zerolog.Nop(), Turns: noOtherInstances{},
+		Engines: fe, Roster: ro, Tracker: &placement.LoadTracker{Clock: clock, Zone: "a"}, Clock: clock, Log: zerolog.Nop(), MoveOrder: noOtherInstances{},
 	}}
 }
 
@@ -111,7 +111,7 @@
 	ha := newHarness(copySucceeds)
 	ru := ha.addRun("r1")
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	mv, moved := await(ru)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(mv.From.ID).To(Equal("e1"))
@@ -128,7 +128,7 @@
 	ha := newHarness(copySucceeds)
 	runs := []*Run{ha.addRun("r1"), ha.addRun("r2"), ha.addRun("r3")}
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	for _, ru := range runs {
 		_, moved := await(ru)
 		g.Expect(moved).To(BeTrue())
@@ -150,13 +150,13 @@
 	ha.Roster.Apply([]feed.Change[roster.Endpoint]{{Object: feed.Object[roster.Endpoint]{Name: "far", Value: &far}}})
 	for _, id := range []string{"e2", "e3"} {
 		for range 6 {
-			ha.Board.Begin(ha.endpoint(id), placement.Work{Engine: testEngine, Prompt: 3500, Output: 400}).Started()
+			ha.Tracker.Begin(ha.endpoint(id), placement.Demand{Engine: testEngine, Prompt: 3500, Output: 400}).Started()
 		}
 	}
 	ru := ha.addRun("r1")
 	ru.Output = 400
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	mv, moved := await(ru)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(mv.Target.Zone).To(Equal("a"))
@@ -173,7 +173,7 @@
 	lost.SetStandby("e3")
 	ha.Roster.Leave("e3")
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	mv, moved := await(lost)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(mv.Target.ID).To(Equal("e2"))
@@ -197,7 +197,7 @@
 	}
 	first, second := ha.addRun("r1"), ha.addRun("r2")
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	for _, ru := range []*Run{first, second} {
 		mv, moved := await(ru)
 		g.Expect(moved).To(BeTrue())
@@ -262,12 +262,12 @@
 	}
 	ru = ha.addRun("r1")
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	g.Eventually(ha.engines.freedHandles, "5s").Should(HaveLen(1))
 	for _, call := range ha.engines.calls() {
 		g.Expect(call).To(HaveSuffix("final=false"))
 	}
-	g.Expect(ha.Board.Loads()).To(BeEmpty())
+	g.Expect(ha.Tracker.Loads()).To(BeEmpty())
 }
 
 // If the caller disconnects before its stream has taken up a completed move,
@@ -283,48 +283,48 @@
 	g.Expect(moved).To(BeFalse())
 }
 
-// fakeTurns reports a decreasing number of runs of other instances.
-type fakeTurns struct {
+// fakeMoveOrder reports a decreasing number of runs of other instances.
+type fakeMoveOrder struct {
 	mu        sync.Mutex
 	ahead     int
 	announced []int
 }
 
-func (tu *fakeTurns) Announce(_ string, runs int) {
-	tu.mu.Lock()
-	defer tu.mu.Unlock()
-	tu.announced = append(tu.announced, runs)
+func (fm *fakeMoveOrder) Announce(_ string, runs int) {
+	fm.mu.Lock()
+	defer fm.mu.Unlock()
+	fm.announced = append(fm.announced, runs)
 }
 
-func (tu *fakeTurns) Ahead(string) int {
-	tu.mu.Lock()
-	defer tu.mu.Unlock()
-	tu.ahead = max(tu.ahead-1, 0)
-	return tu.ahead
+func (fm *fakeMoveOrder) Ahead(string) int {
+	fm.mu.Lock()
+	defer fm.mu.Unlock()
+	fm.ahead = max(fm.ahead-1, 0)
+	return fm.ahead
 }
 
-func (tu *fakeTurns) announcements() []int {
-	tu.mu.Lock()
-	defer tu.mu.Unlock()
-	return append([]int(nil), tu.announced...)
+func (fm *fakeMoveOrder) announcements() []int {
+	fm.mu.Lock()
+	defer fm.mu.Unlock()
+	return append([]int(nil), fm.announced...)
 }
 
 func TestOthersComeFirst(t *testing.T) {
 	g := NewWithT(t)
 	ha := newHarness(copySucceeds)
-	tu := &fakeTurns{ahead: 4}
-	ha.Turns = tu
+	fm := &fakeMoveOrder{ahead: 4}
+	ha.MoveOrder = fm
 	ru := ha.addRun("r1")
 	begun := ha.Clock.Now()
 	ha.Roster.Leave("e1")
-	ha.Leaving(ha.endpoint("e1"))
+	ha.Evacuate(ha.endpoint("e1"))
 	_, moved := await(ru)
 	g.Expect(moved).To(BeTrue())
 	g.Expect(ha.Clock.Since(begun)).To(BeNumerically(">=", announceDelay+3*turnPollInterval))
 	ha.Remove(ru)
-	g.Eventually(func() bool { return len(tu.announcements()) > 1 }, "5s").Should(BeTrue())
-	g.Expect(tu.announcements()[0]).To(Equal(1), "the run is announced")
-	g.Expect(tu.announcements()[1:]).To(HaveEach(0), "the run is no longer announced after its move")
+	g.Eventually(func() bool { return len(fm.announcements()) > 1 }, "5s").Should(BeTrue())
+	g.Expect(fm.announcements()[0]).To(Equal(1), "the run is announced")
+	g.Expect(fm.announcements()[1:]).To(HaveEach(0), "the run is no longer announced after its move")
 }
 
 func TestTurnsAreBounded(t *testing.T) {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,7 +20,7 @@
 
 func TestReader(t *testing.T) {
 	list := []loadshare.Member{
-		{Name: "slow", Zone: "a", Link: 10}, {Name: "fast", Zone: "a", Link: 200}, {Name: "other", Zone: "b", Link: 1000},
+		{Name: "slow", Zone: "a", LinkMbps: 10}, {Name: "fast", Zone: "a", LinkMbps: 200}, {Name: "other", Zone: "b", LinkMbps: 1000},
 	}
 	for _, ca := range []struct {
 		name  string
@@ -40,7 +40,7 @@
 				}
 				return false
 			}
-			all := append([]loadshare.Member{{Name: "self", Zone: "a", Link: 1}}, list...)
+			all := append([]loadshare.Member{{Name: "self", Zone: "a", LinkMbps: 1}}, list...)
 			me, found := readerOf(all, "self", "a", alive)
 			g := NewWithT(t)
 			g.Expect(found).To(BeTrue())
@@ -280,10 +280,10 @@
 	reader.put("e1")
 	reader.state.Put(routing.New(routing.Spec{Version: 1}))
 	reader.state.Confirm(reader.boot.Now())
-	reader.log.Contact(reader.boot.Now())
+	reader.log.CallAnswered(reader.boot.Now())
 	reader.log.SetDirect(true)
 	members := &loadshare.Members{}
-	members.Set([]loadshare.Member{{Name: "self", Zone: "a", Link: 1}, {Name: "reader", Zone: "a", Link: 2}})
+	members.Set([]loadshare.Member{{Name: "self", Zone: "a", LinkMbps: 1}, {Name: "reader", Zone: "a", LinkMbps: 2}})
 	configuration := &countingController{begin: func() { no.state.Confirm(no.boot.Now()) }}
 	others := &countingController{}
 	ca := &caller{log: &reader.log}
@@ -316,7 +316,7 @@
 	reader.state.Put(routing.New(routing.Spec{Version: 2, Source: []byte("version 2")}))
 	reader.put("e1")
 	reader.state.Confirm(reader.boot.Now())
-	reader.log.Contact(reader.boot.Now())
+	reader.log.CallAnswered(reader.boot.Now())
 	reader.log.SetDirect(true)
 	no.state.Put(routing.New(routing.Spec{Version: 1}))
 	no.state.Confirm(no.boot.Now() - maxOwnConfirmationAge - time.Second)
@@ -349,10 +349,10 @@
 	no.put("e1")
 	up := no.ask(Query{})
 	g.Expect(up.Silent).To(BeFalse())
-	no.roster.Trouble(errors.New("down"))
+	no.roster.CallFailed(errors.New("down"))
 	outage := no.ask(Query{Epoch: up.Epoch, Sequence: up.Sequence, Wait: time.Hour})
 	g.Expect(outage.Silent).To(BeTrue())
 	g.Expect(outage.Endpoints).To(BeEmpty())
-	no.roster.Contact(0)
+	no.roster.CallAnswered(0)
 	g.Expect(no.ask(Query{Epoch: outage.Epoch, Sequence: outage.Sequence, Wait: time.Hour}).Silent).To(BeFalse())
 }
