--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -27,8 +27,9 @@
 	// request is lost, and only an idempotent one can be sent again.
 	maxIdleIdempotent    = 8 * time.Second
 	maxIdleNonIdempotent = 1500 * time.Millisecond
-	// minAttemptTime is the time that must remain until the deadline for
-	// another attempt to start.
+	// minAttemptTime is the time that must remain until the deadline for a
+	// request to be sent again after it reached an endpoint. It is not checked
+	// after a failed connection.
 	minAttemptTime = 5 * time.Millisecond
 )
 
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -7,8 +7,8 @@
 	"filbertstall.example/filbertstall/internal/roster"
 )
 
-// maxAnswerBytes limits the answer to a non-streaming request. The answer is
-// buffered completely before its first byte goes to the caller.
+// maxAnswerBytes limits an answer that is not a stream of events. Such an answer
+// is buffered completely before its first byte goes to the caller.
 const maxAnswerBytes = 32 << 20
 
 // serveBuffered answers a request with a complete, buffered answer.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -22,8 +22,9 @@
 
 type script = func(net.Conn, *http.Request)
 
-// The type of the route and what the endpoint has proved determine whether a
-// request is retried.
+// Guards against running a request twice that is not idempotent, and against
+// giving up one that may be sent again. The route's retry class and what the
+// endpoint has proved determine which it is.
 func TestRepeats(t *testing.T) {
 	for _, ca := range []struct {
 		name    string
@@ -31,9 +32,9 @@
 		scripts []script
 		// status is the status of a delivered answer. reason is the reason of a
 		// refusal.
-		status int
-		reason refusal.Reason
-		runs   int
+		status   int
+		reason   refusal.Reason
+		received int
 	}{
 		{"an answer", "/read/", []script{succeeds, succeeds}, 200, "", 1},
 		{"a failed read is sent once more", "/read/", []script{fails, succeeds}, 200, "", 2},
@@ -57,7 +58,7 @@
 			rp := ha.send(ca.path)
 			g.Expect(reasonOf(rp)).To(Equal(ca.reason))
 			g.Expect(rp.Status).To(Equal(ca.status))
-			g.Expect(ha.runs()).To(Equal(ca.runs))
+			g.Expect(ha.received()).To(Equal(ca.received))
 			if rp.Events != nil {
 				g.Expect(readEvents(rp)).To(Equal(numbered(1, 2)))
 			}
@@ -92,7 +93,7 @@
 	for range 5 {
 		ha.send("/read/")
 	}
-	g.Expect(ha.runs()).To(Equal(5+2), "the budget allows two retries")
+	g.Expect(ha.received()).To(Equal(5+2), "the budget allows two retries")
 }
 
 // A refusal states that a request has not run only if this is proved. A wrong
@@ -164,7 +165,7 @@
 	re = ha.request("/read/")
 	re.Body = make([]byte, 1001)
 	g.Expect(reasonOf(ha.Serve(context.Background(), re))).To(Equal(refusal.TooLarge))
-	g.Expect(ha.runs()).To(Equal(1))
+	g.Expect(ha.received()).To(Equal(1))
 }
 
 // A key that a newer configuration no longer contains is refused at once.
@@ -197,7 +198,7 @@
 	time.AfterFunc(30*time.Millisecond, func() { cancel(errors.New("left")) })
 	rp := ha.Serve(ctx, ha.request("/read/"))
 	g.Expect(reasonOf(rp)).To(Equal(refusal.CallerGone))
-	g.Expect(ha.runs()).To(Equal(1), "nothing is sent again after the caller has disconnected")
+	g.Expect(ha.received()).To(Equal(1), "nothing is sent again after the caller has disconnected")
 }
 
 // A stream ends without an error only after its last event, and no incomplete
@@ -289,9 +290,9 @@
 		ta := &task{Request: ha.request("/post/x"), team: "team"}
 		g.Eventually(func() suspicion.Verdict { return ha.Suspects.Verdict(ta.computeFingerprint()) }, "5s").Should(Equal(want))
 	}
-	runs := ha.runs()
+	received := ha.received()
 	g.Expect(reasonOf(ha.send("/post/x"))).To(Equal(refusal.NotSentSuspect))
-	g.Expect(ha.runs()).To(Equal(runs))
+	g.Expect(ha.received()).To(Equal(received))
 	g.Expect(reasonOf(ha.send("/post/y"))).To(Equal(refusal.EndpointLost), "other requests are not refused")
 }
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -167,13 +167,13 @@
 // neither the route nor the caller sets a timeout.
 const maxRequestTime = 10 * time.Minute
 
-func requestTimeout(timeout, budget time.Duration) time.Duration {
+func requestTimeout(timeout, callerTimeout time.Duration) time.Duration {
 	bound := maxRequestTime
 	if timeout > 0 {
 		bound = min(bound, timeout)
 	}
-	if budget > 0 {
-		bound = min(bound, budget)
+	if callerTimeout > 0 {
+		bound = min(bound, callerTimeout)
 	}
 	return bound
 }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -228,8 +228,8 @@
 
 func (ha *harness) send(path string) Reply { return ha.Serve(context.Background(), ha.request(path)) }
 
-// runs returns the total number of requests that the endpoints have received.
-func (ha *harness) runs() int {
+// received returns how many requests the endpoints have received in total.
+func (ha *harness) received() int {
 	count := 0
 	for _, rp := range ha.replicas {
 		count += rp.requestCount()
--- a/internal/dispatch/stall.go
+++ b/internal/dispatch/stall.go
@@ -17,8 +17,9 @@
 
 // startStallTimer watches the current answer for a stall. An interrupted path
 // delivers no error, only silence, and aborting the answer lets the run
-// continue from its standby copy. Streams without a standby copy are not
-// watched, since they can only wait.
+// continue from its standby copy. After a successful probe, the watch resumes
+// only when more data arrives. Streams without a standby copy are not watched,
+// since they can only wait.
 func (se *session) startStallTimer() {
 	if se.standby == nil || se.di.Reachable == nil {
 		return
--- a/internal/dispatch/standby.go
+++ b/internal/dispatch/standby.go
@@ -20,7 +20,7 @@
 
 // reserveStandby chooses an engine for the standby copy of a run on primary and
 // reserves memory there. It returns nil if the service keeps no standby copies,
-// the run is too short to need one, or no engine has enough free memory.
+// the run is too short to need one, or LoadTracker.ChooseStandby finds no engine.
 func (di *Dispatcher) reserveStandby(ta *task, primary roster.Endpoint, dm placement.Demand) *standby {
 	if dm.Engine == nil || !dm.Engine.KeepsStandbyCopies || dm.Output < minStandbyTokens {
 		return nil
--- a/internal/dispatch/standby_test.go
+++ b/internal/dispatch/standby_test.go
@@ -51,6 +51,9 @@
 	g.Expect(ha.Tracker.Loads()).To(BeEmpty(), "all tickets are ended")
 }
 
+// Scenario: an engine crashes, and there is no usable standby copy of the run.
+// The stream ends with an error after its last complete event, and the request
+// is not sent again.
 func TestStreamsWithoutStandby(t *testing.T) {
 	for _, ca := range []struct {
 		name    string
@@ -81,12 +84,13 @@
 			got, err := readEvents(ha.Serve(t.Context(), re))
 			g.Expect(err).To(HaveOccurred())
 			g.Expect(got).To(Equal(numbered(1, 3)))
-			g.Expect(ha.runs()).To(Equal(1))
+			g.Expect(ha.received()).To(Equal(1))
 		})
 	}
 }
 
-// Scenario: an engine restarts under the same ID and has lost its copies.
+// Scenario: an engine that keeps a standby copy restarts under the same ID and
+// has lost the copy. The run must not be resumed there.
 func TestRestartedStandbyHasNoCopy(t *testing.T) {
 	g := NewWithT(t)
 	ha := newHarness(t)
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -112,8 +112,9 @@
 
 const readBufferBytes = 4 << 10
 
-// Read implements io.Reader. It returns only complete events. io.EOF follows
-// only the last event of a complete stream.
+// Read implements io.Reader. It returns data of complete events only, and may
+// split an event between calls. io.EOF follows only the last event of a complete
+// stream.
 func (se *session) Read(into []byte) (int, error) {
 	for se.completeBytes == 0 {
 		if se.endErr != nil {
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -32,8 +32,9 @@
 	return di.Sum64()
 }
 
-// checkSuspect returns a refusal if endpoints that ran the same request have
-// crashed, and nil otherwise. It sets the task's fingerprint.
+// checkSuspect returns a refusal if the verdict on the request is
+// suspicion.Refuse, and nil otherwise. A suspect that may still run is sent like
+// any other request. It sets the task's fingerprint.
 func (di *Dispatcher) checkSuspect(ta *task) *refusal.Error {
 	if di.Suspects == nil {
 		return nil
--- a/internal/loadshare/doc.go
+++ b/internal/loadshare/doc.go
@@ -2,12 +2,13 @@
 // places new generations on engines with free capacity.
 //
 // An instance sends its complete load in one datagram whenever it changes, up
-// to a maximum rate, and at least once per heartbeat. Each datagram replaces
-// the one before, so a lost one is repaired by the next, and no instance waits
-// for acknowledgements: during a network partition the loads of the other zone
-// become stale, but nothing blocks. This is why the exchange uses datagrams and
-// not the RPCs that instances use elsewhere. The loads of an instance expire
-// when nothing has arrived from it for three heartbeats.
+// to a maximum rate, and at least once per heartbeat. Other zones receive it
+// less often, the more instances they have (remoteSendInterval). Each datagram
+// replaces the one before, so a lost one is repaired by the next, and no
+// instance waits for acknowledgements: during a network partition the loads of
+// the other zone become stale, but nothing blocks. This is why the exchange uses
+// datagrams and not the RPCs that instances use elsewhere. The loads of an
+// instance expire when nothing has arrived from it for three heartbeats.
 //
 // # Usage
 //
--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// heartbeat is the maximum time between two messages of an instance.
+	// heartbeat is the maximum time between two messages of an instance to its own
+	// zone.
 	heartbeat = time.Second
 	// minSendInterval is the minimum time between two messages of an instance.
 	minSendInterval = 10 * time.Millisecond
@@ -113,7 +114,7 @@
 // remoteSendInterval returns the minimum time between two messages to other
 // zones, unless announcements of moves have changed. It grows with the number of
 // instances there, up to heartbeat, so that the send rate of one instance stays
-// bounded.
+// bounded. The first change or heartbeat after the interval is sent there.
 func remoteSendInterval(instances int) time.Duration {
 	return min(time.Duration(instances)*remoteIntervalPerInstance, heartbeat)
 }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -23,6 +23,8 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
+// decode returns what encode was given, and rejects a message that lacks its
+// last byte.
 func TestMessagesSurviveTheirForm(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		me := message{
@@ -30,8 +32,8 @@
 			Sequence: rapid.Uint64().Draw(rt, "sequence"),
 			Loads: rapid.MapOfN(rapid.String(), rapid.Custom(func(rt *rapid.T) placement.Load {
 				return placement.Load{
-					Running: rapid.IntRange(0, 500).Draw(rt, "running"), PrefillTokens: rapid.IntRange(0, 1<<20).Draw(rt, "reading"),
-					ReservedTokens: rapid.IntRange(0, 1<<30).Draw(rt, "held"),
+					Running: rapid.IntRange(0, 500).Draw(rt, "running"), PrefillTokens: rapid.IntRange(0, 1<<20).Draw(rt, "prefill tokens"),
+					ReservedTokens: rapid.IntRange(0, 1<<30).Draw(rt, "reserved tokens"),
 				}
 			}), 0, 20).Draw(rt, "loads"),
 			Moves: rapid.MapOfN(rapid.String(), rapid.IntRange(0, 100), 0, 5).Draw(rt, "moves"),
@@ -107,6 +109,9 @@
 	g.Expect(ex.IsAlive("i2")).To(BeFalse())
 }
 
+// Guards against two instances moving runs off one engine at the same time, or
+// waiting for each other: an instance counts only the runs of those that come
+// before it in the engine's order.
 func TestTurns(t *testing.T) {
 	g := NewWithT(t)
 	first, second := "i1", "i2"
@@ -132,6 +137,8 @@
 	g.Expect(unsent).To(BeFalse())
 }
 
+// Guards against a send rate to other zones that grows with the number of
+// instances there.
 func TestFarZonesAreToldSeldom(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(remoteSendInterval(4)).To(Equal(4 * remoteIntervalPerInstance))
--- a/internal/migration/evacuation.go
+++ b/internal/migration/evacuation.go
@@ -45,9 +45,9 @@
 }
 
 // awaitTurn waits until instances that come first have moved their runs, or
-// have had enough time to do so. Copies from one engine are transferred one
-// after another, and a run that is stopped while copies of other runs are
-// queued pauses until these are transferred.
+// have had enough time to do so, but not beyond turnWaitEnd. Copies from one
+// engine are transferred one after another, and a run that is stopped while
+// copies of other runs are queued pauses until these are transferred.
 func (mo *Mover) awaitTurn(ctx context.Context, ev *evacuation) {
 	if !ev.announced {
 		ev.announced = true
--- a/internal/migration/mover_test.go
+++ b/internal/migration/mover_test.go
@@ -182,6 +182,8 @@
 	}
 }
 
+// Scenario: an engine that is chosen as a target rejects the copy for lack of
+// room. The runs move to the other engine without asking the full one again.
 func TestTargetWithoutRoomIsLeftOut(t *testing.T) {
 	g := NewWithT(t)
 	full := ""
@@ -309,6 +311,9 @@
 	return append([]int(nil), fm.announced...)
 }
 
+// Guards against copies of several instances being queued on the link of a
+// leaving engine, which would prolong the pause of a stopped run: an instance
+// waits while runs of instances that come first are still to be moved.
 func TestOthersComeFirst(t *testing.T) {
 	g := NewWithT(t)
 	ha := newHarness(copySucceeds)
--- a/internal/migration/plan_test.go
+++ b/internal/migration/plan_test.go
@@ -7,7 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Scenario: engines are reclaimed at short notice.
+// Scenario: an engine is reclaimed at short notice. Moving a run that ends in
+// time or has a usable standby copy would delay the runs that need to move.
 func TestWhichRunsMove(t *testing.T) {
 	for _, ca := range []struct {
 		name  string
--- a/internal/migration/run.go
+++ b/internal/migration/run.go
@@ -87,8 +87,9 @@
 }
 
 // Await waits for the end of a final copy in progress and returns where the run
-// continues. It returns false if no move was started, the move failed, or ctx
-// ended.
+// continues, which is its own engine if the copy failed after stopping the run.
+// It returns false if no final copy was started, if it failed without stopping
+// the run, or if ctx or the run has ended.
 func (ru *Run) Await(ctx context.Context) (Moved, bool) {
 	ru.mu.Lock()
 	stopping := ru.stopping
--- a/internal/placement/load_tracker.go
+++ b/internal/placement/load_tracker.go
@@ -19,7 +19,8 @@
 	Engine *routing.Engine
 	// Prompt is the number of prompt tokens to prefill.
 	Prompt int
-	// Output is the expected number of output tokens.
+	// Output is the number of output tokens to plan for. The dispatcher passes the
+	// mean over the duration of the generation, since the output grows from zero.
 	Output int
 	// ColdRate is the maximum rate, in requests per second, at which this instance
 	// sends to an endpoint in cold start. Zero means no limit.
@@ -81,7 +82,7 @@
 	// zoneCost is the network round trip to another zone.
 	zoneCost = 6.0
 	// engineZoneCost applies to engines in another zone, plus outputZoneCost for
-	// each expected output token: the longer a stream, the more likely it is that
+	// each token of Demand.Output: the longer a stream, the more likely it is that
 	// a network partition interrupts it, or that it must be migrated because its
 	// engine drains.
 	engineZoneCost = 30.0
--- a/internal/placement/standby.go
+++ b/internal/placement/standby.go
@@ -63,11 +63,11 @@
 // fill returns the mean share of reserved memory over the engines. The caller
 // must hold mu.
 func (lt *LoadTracker) fill(list []roster.Endpoint, dm Demand) float64 {
-	held := 0
+	reserved := 0
 	for _, en := range list {
-		held += lt.load(en.ID).ReservedTokens
+		reserved += lt.load(en.ID).ReservedTokens
 	}
-	return float64(held) / float64(max(len(list), 1)*dm.Engine.MemoryTokens)
+	return float64(reserved) / float64(max(len(list), 1)*dm.Engine.MemoryTokens)
 }
 
 // Reserve accounts for the memory of a standby copy at an engine until the
--- a/internal/placement/standby_test.go
+++ b/internal/placement/standby_test.go
@@ -17,11 +17,11 @@
 // within the instance's zone.
 func TestWhereStandbyCopiesLie(t *testing.T) {
 	for _, ca := range []struct {
-		name    string
-		primary string
-		held    map[string]int
-		cold    string
-		want    string
+		name     string
+		primary  string
+		reserved map[string]int
+		cold     string
+		want     string
 	}{
 		{"engine with the most free memory", "e0", map[string]int{"e1": 9000, "e2": 4000}, "", "e2"},
 		{"instance's zone preferred to more free memory", "e0", map[string]int{"e1": 6000, "e2": 6000}, "", "e1 or e2"},
@@ -37,8 +37,8 @@
 			lt := newTracker(clock)
 			list := endpoints("a", "a", "a", "b")
 			for ix, en := range list {
-				if held := ca.held[en.ID]; held > 0 {
-					lt.Begin(en, Demand{Engine: testEngine, Prompt: held})
+				if reserved := ca.reserved[en.ID]; reserved > 0 {
+					lt.Begin(en, Demand{Engine: testEngine, Prompt: reserved})
 				}
 				if en.ID == ca.cold {
 					list[ix].ColdUntil = clock.Now().Add(time.Second)
--- a/internal/placement/ticket.go
+++ b/internal/placement/ticket.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// End removes the request from the account and records its outcome. Further
-// calls have no effect.
+// End removes the request from the account and records its outcome. For a
+// standby copy it only releases the memory. Further calls have no effect.
 func (ti *Ticket) End(ou Outcome) {
 	ti.tracker.mu.Lock()
 	defer ti.tracker.mu.Unlock()
--- a/internal/placement/zonepath.go
+++ b/internal/placement/zonepath.go
@@ -34,8 +34,8 @@
 	return zp.failures * decay(now.Sub(zp.at), zonePathHalfLife)
 }
 
-// recordOutcome updates the failures. Done, Failed and Refused show that the
-// path works and reset them. Lost leaves them unchanged.
+// recordOutcome updates the failures. Done, Failed and Refused count as a sign
+// that the path works and reset them. Lost leaves them unchanged.
 func (zp *zonePath) recordOutcome(ou Outcome, now time.Time) {
 	switch ou {
 	case Unreachable:
--- a/internal/retry/doc.go
+++ b/internal/retry/doc.go
@@ -2,8 +2,9 @@
 // back-off.
 //
 // Each service has one retry budget for retries and hedged requests together: a
-// token bucket that callers' requests fill. It keeps the load offered to
-// endpoints within 1.1 times the callers' load, however many endpoints fail.
+// token bucket that callers' requests fill. From 500 requests on, it keeps the
+// load offered to endpoints within 1.1 times the callers' load, however many
+// endpoints fail.
 // The back-off is exponential with full jitter. A call that may have begun to
 // run at an endpoint is retried only if it is idempotent.
 //
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -48,6 +48,8 @@
 	})
 }
 
+// Guards against retrying a call that may have run and is not idempotent, one
+// whose back-off passes its deadline, and one that has used up its attempts.
 func TestAgain(t *testing.T) {
 	gm := NewWithT(t)
 	scope := tally.NewTestScope("", nil)
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -117,7 +117,8 @@
 
 // WithBoot returns a copy with the boot ID. The copy is cold if the endpoint
 // has restarted, that is, if another boot ID was seen before. The first boot ID
-// that is seen does not make it cold.
+// that is seen does not make it cold. A limit that WithAllowed has reported for
+// this boot ID applies at once.
 func (st State) WithBoot(boot string) State {
 	changed := st.boot != "" && boot != st.boot
 	st.boot = boot
