--- a/internal/admission/account.go
+++ b/internal/admission/account.go
@@ -47,7 +47,8 @@
 }
 
 const (
-	// reservedSequences is the number of slots kept free for short requests.
+	// reservedSequences is the number of slots that long requests leave free
+	// for short and resumed ones.
 	reservedSequences = 2
 	// ampleRoomShare is the share of the memory above which further room has
 	// no benefit, and the endpoint with the shorter decode step is the better
@@ -58,8 +59,8 @@
 	// sequence adds to a decode step and for the tokens that it will still
 	// produce.
 	sequenceCostTokens = 800
-	// reservedMemoryShare is the share of the memory kept free for short
-	// requests.
+	// reservedMemoryShare is the share of the memory that long requests leave
+	// free for short and resumed ones.
 	reservedMemoryShare = 0.01
 )
 
@@ -86,19 +87,20 @@
 	return limit
 }
 
-// hasFreeSlot reports whether the endpoint can run one more request. Long
-// requests leave reservedSequences slots free for short ones.
-func (ac *account) hasFreeSlot(short bool) bool {
+// hasFreeSlot reports whether the endpoint can run one more request. Without
+// useReserved, as for long requests, reservedSequences slots stay free at an
+// endpoint that decodes, unless its limit is at most twice that number.
+func (ac *account) hasFreeSlot(useReserved bool) bool {
 	limit := ac.limit()
-	if !short && ac.decodes() && limit > 2*reservedSequences {
+	if !useReserved && ac.decodes() && limit > 2*reservedSequences {
 		limit -= reservedSequences
 	}
 	return len(ac.sequences) < limit
 }
 
 // saturated reports whether the endpoint runs as many requests as its warm-up
-// state allows, leaving out the slots reserved for short requests. Only work
-// under this load counts towards the warm-up.
+// state allows, leaving out the reserved slots. Only work under this load
+// counts towards the warm-up.
 func (ac *account) saturated() bool {
 	allowed := ac.warm.Allowed()
 	if ac.decodes() && allowed > 2*reservedSequences {
--- a/internal/admission/allocator.go
+++ b/internal/admission/allocator.go
@@ -17,8 +17,8 @@
 )
 
 // Allocator decides for one service which endpoint runs a request, and when.
-// It reads no clock and starts no goroutines: each call passes the current
-// time, which must not decrease. It is not safe for concurrent use. Set the
+// It reads no clock and starts no goroutines: callers pass the current time,
+// which must not decrease. It is not safe for concurrent use. Set the
 // exported fields before the first call; zero selects the default.
 type Allocator struct {
 	// QueueLimit is the maximum number of requests queued in one lane.
@@ -143,7 +143,7 @@
 }
 
 // Submit queues a request, or returns the reason if it is refused at once. A
-// request that is already queued or in flight is not queued again.
+// request that is in flight or already in its lane is not queued again.
 func (al *Allocator) Submit(now time.Time, re Request) *refusal.Error {
 	al.prepare()
 	if _, found := al.running[re.ID]; found {
@@ -168,8 +168,8 @@
 }
 
 // maxExpectedWait returns the expected wait above which a request is refused.
-// A resumed answer may wait until its deadline, because a refusal would
-// truncate it.
+// A resumed answer that has a deadline may wait until then, because a refusal
+// would truncate it.
 func (al *Allocator) maxExpectedWait(now time.Time, la *lane, re Request) time.Duration {
 	if re.Deadline.IsZero() {
 		return al.QueueWait
@@ -258,8 +258,8 @@
 	al.updateScore(ac)
 }
 
-// updateWarmUp counts new tokens towards the warm-up of the endpoint, or
-// resets the endpoint to cold if they arrived too slowly.
+// updateWarmUp counts new tokens towards the warm-up of the endpoint if that
+// is saturated, or resets the endpoint to cold if they arrived too slowly.
 func (al *Allocator) updateWarmUp(now time.Time, se *sequence, fresh int64) {
 	ac := se.ac
 	if se.lastProgress.IsZero() || !ac.decodes() {
--- a/internal/admission/backoff.go
+++ b/internal/admission/backoff.go
@@ -21,8 +21,9 @@
 
 // backOff is the failure state of one endpoint. It is immutable. failures
 // counts the requests that the endpoint did not accept since it last produced
-// a token, and losses the connections lost since windowStart. The endpoint
-// gets no new work before until.
+// a token, until the delay has reached maxBackOff. losses counts the
+// connections lost since windowStart. The endpoint gets no new work before
+// until.
 type backOff struct {
 	failures    int
 	losses      int
@@ -64,8 +65,9 @@
 	return ri
 }
 
-// recordFailure starts a back-off if the request failed because of the
-// endpoint or its connection. An endpoint that may have restarted is cold.
+// recordFailure starts a back-off if the endpoint did not accept the request
+// or the request was lost. It resets an endpoint that may have restarted to
+// cold.
 func (al *Allocator) recordFailure(now time.Time, ac *account, re Result) {
 	switch re {
 	case NotBegun:
--- a/internal/admission/choose.go
+++ b/internal/admission/choose.go
@@ -1,7 +1,6 @@
 package admission
 
-// shortRiskFactor is the factor that the safety margin is multiplied by for short
-// requests.
+// shortRiskFactor scales the safety margin on memory for short requests.
 const shortRiskFactor = 0.5
 
 // demand is what a request requires of an endpoint.
@@ -12,10 +11,11 @@
 	risk           float64
 }
 
-// choose returns an endpoint with room for the request, or nil if there is
-// none. It prefers the nearest endpoints, and among equally near ones the one
-// with the highest score, unless another that holds the prefix of the prompt
-// has only slightly less room.
+// choose returns an endpoint with room for the request, or nil if it finds
+// none among the maxInspected first accounts at each distance. It prefers the
+// nearest endpoints, and among equally near ones the one with the highest
+// score, unless another that holds the prefix of the prompt scores only
+// slightly lower.
 func (al *Allocator) choose(kind laneKind, qr *queuedRequest) *account {
 	dm := al.demand(kind, qr)
 	for ix := range al.indexes {
@@ -37,8 +37,8 @@
 	return dm
 }
 
-// choose returns the account with the highest score that has room for the
-// request, or nil.
+// choose returns the account with the highest score among the inspected ones
+// that have room for the request, or nil if none has.
 func (in *index) choose(dm *demand) *account {
 	var best *account
 	in.each(func(ac *account) bool {
--- a/internal/admission/choose_test.go
+++ b/internal/admission/choose_test.go
@@ -37,7 +37,7 @@
 }
 
 var _ = Describe("choose", func() {
-	It("does not allocate and inspects only a few of 1,200 endpoints", func() {
+	It("allocates no memory and inspects only a few of 1,200 endpoints", func() {
 		al := loadedAllocator(1200)
 		qr := testRequest(al)
 		Expect(testing.AllocsPerRun(100, func() { al.choose(longLane, &qr) })).To(BeZero())
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -8,8 +8,8 @@
 // Candidate is an endpoint that the allocator may choose.
 type Candidate struct {
 	Endpoint kind.Endpoint
-	// Eligible endpoints get new work. The others keep their accounts until
-	// their requests in flight have ended.
+	// Eligible endpoints get new work. The others get none, but the requests
+	// in flight there still count.
 	Eligible bool
 	// Distance is 0 in the same zone, 1 in the same region and 2 elsewhere.
 	Distance int
--- a/internal/admission/lane.go
+++ b/internal/admission/lane.go
@@ -18,7 +18,7 @@
 	// teams holds the grant rate of each team.
 	teams map[string]*rate
 	// blocked is set if no endpoint had room for the head of the lane in the
-	// last decision.
+	// last decision, or if the lane was suspended in it.
 	blocked bool
 	// suspended is set while the lane gets no grants in the current decision.
 	suspended bool
@@ -45,7 +45,7 @@
 // wait. It divides the requests ahead, under fair sharing, by the grant rate
 // of the lane. For a team with queued requests, it divides their number by the
 // grant rate of the team if that gives a longer time. The result is zero while
-// the lane is not blocked.
+// the lane is not blocked or has not granted anything yet.
 func (la *lane) expectedWait(now time.Time, re Request) time.Duration {
 	if !la.blocked {
 		return 0
--- a/internal/admission/slope_test.go
+++ b/internal/admission/slope_test.go
@@ -9,8 +9,8 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// BenchmarkSlopeGrant measures the CPU time that a request takes in the
-// allocator: queued, granted, ten progress reports, finished.
+// BenchmarkSlopeGrant measures the time that a request takes in the allocator,
+// on one goroutine: queued, granted, ten progress reports, finished.
 func BenchmarkSlopeGrant(b *testing.B) {
 	const requests, reports = 2000, 10
 	for _, endpoints := range []int{12, 120, 1200} {
--- a/internal/allocation/doc.go
+++ b/internal/allocation/doc.go
@@ -16,8 +16,8 @@
 // lists of members that the platform has published one after another.
 //
 // A suspect is a request with the same content as one that was running at an
-// endpoint when that crashed. The holder never lets two suspects run at the
-// same endpoint at the same time.
+// endpoint when that crashed. The holder never grants a suspect a place at an
+// endpoint where it knows another suspect to run.
 //
 // # Usage
 //
@@ -25,5 +25,5 @@
 //		Caller: client, Endpoints: endpoints, Configuration: &holder, Clock: clock}
 //	err := server.Register(allocation.ServiceName, gt.Service())
 //	go gt.Run(ctx) // a controller.Controller
-//	place, err := gt.Acquire(ctx, request) // an admission.Granter
+//	grant, err := gt.Acquire(ctx, request) // an admission.Granter
 package allocation
--- a/internal/allocation/error.go
+++ b/internal/allocation/error.go
@@ -17,7 +17,8 @@
 	// same instance, so that this one had no effect.
 	Stale ErrorKind = "stale"
 	// NoAnswer means that the holder could not be reached, did not answer in
-	// time, or answered too late for the grant to be used.
+	// time, or answered too late for the grant to be used. It also means that
+	// no call was made because the instance is disconnected from the holder.
 	NoAnswer ErrorKind = "no_answer"
 )
 
--- a/internal/allocation/fallback.go
+++ b/internal/allocation/fallback.go
@@ -74,7 +74,8 @@
 }
 
 // Within startWindow, all disconnected members together may start requests at
-// up to 1/burstDivisor of an endpoint's places.
+// up to 1/burstDivisor of an endpoint's places, or one request each if that is
+// more.
 const (
 	burstDivisor = 4
 	startWindow  = 2 * maxReportLag
--- a/internal/allocation/group.go
+++ b/internal/allocation/group.go
@@ -31,8 +31,8 @@
 // Key returns the key of the group's lease in the platform's store.
 func (gr Group) Key() string { return leasePrefix + gr.String() }
 
-// parseKey returns the group of a lease key. It returns false if the key does
-// not contain both a zone and a service.
+// parseKey returns the group of a lease key. It returns false if no slash
+// separates a zone from a service.
 func parseKey(key string) (Group, bool) {
 	zone, service, ok := strings.Cut(strings.TrimPrefix(key, leasePrefix), "/")
 	return Group{Zone: zone, Service: service}, ok
--- a/internal/allocation/holder.go
+++ b/internal/allocation/holder.go
@@ -65,7 +65,8 @@
 	sequence int64
 	// lastSeen is when the holder issued the stamp that the last sync carried.
 	// The member sent that sync later, so lastSeen is a lower bound that does
-	// not depend on the member's clock or on delays.
+	// not depend on the member's clock or on delays. It is zero until a sync
+	// carries a stamp of this holder.
 	lastSeen time.Time
 }
 
@@ -124,7 +125,7 @@
 
 	configuration *kind.Configuration
 	refreshed     time.Time
-	// silent contains the members without recent contact, as of refreshed.
+	// silent is the result of silentMembers as of refreshed.
 	silent []string
 	// eligible contains the endpoints that may take new work by the
 	// configuration. open contains those of them that may take it at this
@@ -183,8 +184,7 @@
 }
 
 // restrict returns the request as the decision core sees it: with its key as
-// the ID, and with all endpoints excluded that are outside of the half that
-// the caller may use.
+// the ID, and with all endpoints excluded that the caller's half cannot reach.
 func (ho *holder) restrict(args *AcquireArgs) admission.Request {
 	re := args.Request
 	re.ID = args.Key
--- a/internal/allocation/holder_test.go
+++ b/internal/allocation/holder_test.go
@@ -235,6 +235,9 @@
 	})
 }
 
+// Guards against a place that the holder does not count. Once an instance has
+// told a new holder what it has in flight, it must not use a grant of the
+// earlier holder that arrives later.
 func TestGrantOfAnEarlierEpoch(t *testing.T) {
 	gm := NewWithT(t)
 	gt := newWorld(1, []string{"a"}, 1, 1).instances[0].gt
--- a/internal/allocation/link.go
+++ b/internal/allocation/link.go
@@ -69,14 +69,19 @@
 	// syncs to their holders even when it has nothing in flight.
 	hasShare func() bool
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// sequence is that of the last sync. It starts at the current time in
+	// nanoseconds, so that the holder does not take the syncs of a restarted
+	// instance for stale ones.
 	sequence int64
-	epoch    int64
-	address  string
-	stamp    int64
-	waiting  map[string]bool
-	places   map[string]*place
-	ended    map[string]admission.Outcome
+	// epoch and address are those of the newest known holder, and stamp is the
+	// newest one received from it.
+	epoch   int64
+	address string
+	stamp   int64
+	waiting map[string]bool
+	places  map[string]*place
+	ended   map[string]admission.Outcome
 	// dirty is true if something has changed since the last sync was composed,
 	// or if that sync failed.
 	dirty        bool
@@ -196,8 +201,8 @@
 	return li.nextSync(now)
 }
 
-// nextSync returns everything that is in flight under a new sequence number.
-// The caller holds mu.
+// nextSync returns a sync with a new sequence number that lists everything
+// waiting, in flight or ended. The caller holds mu.
 func (li *link) nextSync(now time.Time) GroupSync {
 	li.sequence++
 	li.sent, li.dirty = now, false
--- a/internal/allocation/reserve.go
+++ b/internal/allocation/reserve.go
@@ -80,8 +80,8 @@
 }
 
 // applyReserves keeps places free by means of placeholder requests in the
-// decision core. An endpoint whose current bound is below its grantable
-// capacity needs fewer of them, because the places beyond the bound are free
+// decision core. An endpoint whose concurrency limit is below its grantable
+// capacity needs fewer of them, because the places beyond the limit are free
 // anyway.
 func (ho *holder) applyReserves(now time.Time) {
 	if ho.configuration == nil {
--- a/internal/allocation/share.go
+++ b/internal/allocation/share.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// viewWindow is how long a replaced view still counts, in addition to the
-	// last two views.
+	// viewWindow is how long a replaced view counts at least, in addition to
+	// the last two views.
 	viewWindow = 10 * time.Second
 	// minViews is the number of views that count regardless of their age.
 	minViews = 2
@@ -36,14 +36,15 @@
 // share is at most its share by V. The shares by V add up to all places.
 //
 // A single view counts once it is confirmed: all its members have it as their
-// newest view, and none of them remembers an instance that is not in it.
+// newest view, and none of them has an older view with another instance that
+// may still use a share.
 type views struct {
 	list      []view
 	confirmed bool
 }
 
-// with returns the views after the platform listed members at now. Views that
-// no longer count are dropped.
+// with returns the views after the platform listed members at now. It drops
+// the views that no longer count only if members differ from the newest view.
 func (vi *views) with(now time.Time, members []string) *views {
 	members = slices.Sorted(slices.Values(members))
 	if slices.Equal(vi.newest(), members) {
@@ -102,7 +103,7 @@
 	return shareOf(vi.union(), instance, endpoint, places)
 }
 
-// union returns the members of all views that still count.
+// union returns the members of all views that are kept, sorted.
 func (vi *views) union() []string {
 	var union []string
 	for _, it := range vi.list {
--- a/internal/allocation/wire.go
+++ b/internal/allocation/wire.go
@@ -86,9 +86,10 @@
 type PlaceSync struct {
 	Key    string
 	Tokens int64
-	// Suspect requests do not share an endpoint with other suspects.
+	// Suspect means the same as in AcquireArgs. The holder grants other
+	// suspects no place at this endpoint.
 	Suspect bool
-	// Endpoint and Request are set until the holder has acknowledged the place.
+	// Endpoint and Request are set while the holder may not know the place.
 	Endpoint string
 	Request  *admission.Request
 }
--- a/internal/queue/doc.go
+++ b/internal/queue/doc.go
@@ -6,8 +6,8 @@
 // leaves the queue, and the difference to the actual number once that is
 // known. The next request comes from the team with the least tokens charged in
 // proportion to its weight. A team that becomes active again after an idle
-// period starts at the current virtual time of the queue, so that it
-// accumulates no credit while it is idle.
+// period starts no lower than the current virtual time of the queue, so that
+// it accumulates no credit while it is idle.
 //
 // # Usage
 //
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -36,7 +36,7 @@
 	items    map[string]*Item[T]
 	expiries byExpiry[T]
 	// virtualTime is the highest normalizedTokens at which a team was served
-	// so far. Teams that become active start from it.
+	// so far. Teams that become active start no lower.
 	virtualTime float64
 }
 
