--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -58,13 +58,15 @@
 	// CallAnswered reports that the store answered a call that was sent at boot
 	// time begun. It follows Reset or Apply if the answer led to one.
 	CallAnswered(begun time.Duration)
-	// CallFailed reports that a call failed. It is not called for ErrHistoryGone.
+	// CallFailed reports that a call failed. Neither CallAnswered nor CallFailed
+	// is called for ErrHistoryGone.
 	CallFailed(err error)
 }
 
 const (
-	// minBackoff and maxBackoff bound the exponential back-off after failed calls.
-	// Jitter shortens it by up to half.
+	// minBackoff and maxBackoff bound the pause after a failed call. The pause
+	// starts at twice minBackoff and doubles with each further failure; jitter
+	// then shortens it by up to half.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
 )
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -64,7 +64,7 @@
 type sink struct {
 	mu       sync.Mutex
 	recorded []string
-	contacts int
+	answers  int
 }
 
 func (si *sink) add(what string) {
@@ -88,10 +88,10 @@
 func (si *sink) CallAnswered(time.Duration) {
 	si.mu.Lock()
 	defer si.mu.Unlock()
-	si.contacts++
+	si.answers++
 }
 
-func (si *sink) CallFailed(error) { si.add("trouble") }
+func (si *sink) CallFailed(error) { si.add("failed") }
 
 func (si *sink) events() []string {
 	si.mu.Lock()
@@ -128,12 +128,12 @@
 		{
 			"continues from the same revision after a failure",
 			[]step{{at: 1}, {err: failure}, {changes: changes("b"), at: 2}},
-			[]string{"list", "watch 1", "watch 1", "watch 2"}, []string{"trouble", "+b"},
+			[]string{"list", "watch 1", "watch 1", "watch 2"}, []string{"failed", "+b"},
 		},
 		{
 			"repeats the list until it is answered",
 			[]step{{err: failure}, {err: failure}, {list: []Object[string]{object("a")}, at: 1}},
-			[]string{"list", "list", "list", "watch 1"}, []string{"trouble", "trouble", "=a"},
+			[]string{"list", "list", "list", "watch 1"}, []string{"failed", "failed", "=a"},
 		},
 		{
 			"never returns to an older revision",
--- a/internal/gateway/bound.go
+++ b/internal/gateway/bound.go
@@ -11,8 +11,8 @@
 const (
 	// confirmationMargin is the part of KeyRevocationBound that is reserved for
 	// the network delay from the caller and for clock skew. The age of a
-	// confirmation counts from before the store was asked, so it never covers a
-	// key that was revoked after that.
+	// confirmation counts from before the store was asked, so that a key revoked
+	// after that is never covered.
 	confirmationMargin = 300 * time.Millisecond
 	// unlimitedAge is the maximum age of a confirmation if the platform sets no
 	// bound.
@@ -38,7 +38,7 @@
 }
 
 // maxDenyAge returns the maximum age of the store's confirmation that a route
-// does not exist.
+// or a key does not exist.
 func (se Settings) maxDenyAge() time.Duration {
 	if se.ConfigurationBound == 0 {
 		return unlimitedAge
--- a/internal/gateway/registration.go
+++ b/internal/gateway/registration.go
@@ -16,7 +16,7 @@
 	// Register creates the entry of an instance or replaces the one of the same
 	// name.
 	Register(me loadshare.Member) error
-	// Withdraw removes the entry of an instance.
+	// Withdraw removes the entry of an instance. A Gateway does not call it.
 	Withdraw(name string) error
 }
 
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -20,8 +20,8 @@
 	LinkMbps int
 	// Store is the address of the platform's store.
 	Store string
-	// KeyRevocationBound is the time after the revocation of a key from which on
-	// no instance may accept it. Zero means that there is no such bound.
+	// KeyRevocationBound is the longest time for which an instance may still
+	// accept a key after its revocation. Zero means that there is no such bound.
 	KeyRevocationBound time.Duration
 	// ConfigurationBound is the time within which a new configuration must be in
 	// effect. Zero means that there is no such bound.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -161,10 +161,10 @@
 	return Record{Holder: le.Holder, Address: le.Address, Epoch: le.maxEpoch + 1, Sequence: 1}, "take"
 }
 
-// isFree reports whether no instance can hold the lease: it was released, or no
-// record ever existed. A record that is absent or older than one observed before
-// results from a deletion or a restored backup, and the holder of the newer one
-// may still be running.
+// isFree reports whether the lease may be taken without waiting for the end of a
+// term: it was released, or this instance has never observed a record. A record
+// that is absent or older than one observed before results from a deletion or a
+// restored backup, and the holder of the newer one may still be running.
 func (le *Lease) isFree() bool {
 	if le.version == 0 {
 		return le.maxEpoch == 0
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -89,6 +89,8 @@
 	}
 }
 
+// Delays, faults of the store, restarts and clocks of different rates must not let
+// two instances hold the lease at once or hold the same epoch.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		co := newContest()
--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -10,7 +10,7 @@
 //
 // # Usage
 //
-//	ta := &member.Table{Self: self, Store: store, Caller: client, Clock: clock, Log: log}
+//	ta := &member.Table{Self: self, Store: store, Caller: client, Clock: clock, Log: log, Version: version}
 //	err := server.Register(member.ServiceName, &member.Service{Table: ta})
 //	go ta.Run(ctx)
 //	for _, me := range ta.View().Members { ... }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -77,6 +77,9 @@
 	}
 }
 
+// Guards against a stopped member that stays live in the views because the
+// platform's list is updated late, and against view versions that rise without a
+// change of membership.
 func TestLifeOfAMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gr := newGroup(t, 12, "dalseo", "suseong")
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -16,7 +16,8 @@
 // maxReportedStates is the maximum number of members in ProbeReply.News.
 const maxReportedStates = 16
 
-// ProbeArgs describes the instance that probes.
+// ProbeArgs describes the instance that makes a call. Started is in Unix
+// milliseconds.
 type ProbeArgs struct {
 	Name    string
 	Zone    string
@@ -26,7 +27,8 @@
 	Leaving bool
 }
 
-// ProbeReply describes the instance that answers.
+// ProbeReply describes the instance that answers. Started is in Unix
+// milliseconds.
 type ProbeReply struct {
 	Name    string
 	Zone    string
@@ -141,8 +143,8 @@
 	}
 }
 
-// recordContact updates the entry of a member that answered a probe or sent
-// one.
+// recordContact updates the entry of a member that answered a probe or called
+// this instance.
 func (ta *Table) recordContact(me Member, leaving bool) {
 	ta.mu.Lock()
 	en := ta.addOrUpdate(me)
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -23,14 +23,15 @@
 const (
 	// ProbeInterval is the time between two rounds of probes.
 	ProbeInterval = 2 * time.Second
-	// probeTimeout is the deadline of a probe.
+	// probeTimeout is the timeout of a probe and of a request for contacts.
 	probeTimeout = time.Second
 	// suspectAfter is the number of consecutive unanswered probes after which a
 	// member is suspected.
 	suspectAfter = 2
 	// goneAfter is how long a member that the platform no longer lists as live
 	// may go unseen before it counts as gone. indirectState applies the same
-	// time to members that this instance does not probe, and to zones.
+	// limit to the time since a member was last listed and to the time since any
+	// member of a zone was last seen.
 	goneAfter = 10 * time.Second
 	// directContactWindow is how long, after the last contact with a member of
 	// another zone or its last unanswered probe, this instance derives the
@@ -51,8 +52,9 @@
 	// probesPerRemoteZone is how many members of each other zone an instance
 	// probes.
 	probesPerRemoteZone = 2
-	// minListInterval and listIntervalPerMember keep the reads of the
-	// platform's list, over all instances, below 20 per second.
+	// minListInterval and listIntervalPerMember limit the reads of the platform's
+	// list, over all instances, to 20 per second. An instance without a
+	// configuration reads the list every ProbeInterval instead.
 	minListInterval       = 5 * time.Second
 	listIntervalPerMember = 50 * time.Millisecond
 )
@@ -63,8 +65,8 @@
 	// listed is the state in the platform's list, empty if the member is not
 	// listed.
 	listed platform.InstanceState
-	// lastSeen is when the member last answered a probe or sent one. A new
-	// entry starts with the time at which it was added.
+	// lastSeen is when the member last answered a probe or called this instance.
+	// A new entry starts with the time at which it was added.
 	lastSeen time.Time
 	// missed counts consecutive unanswered probes, the last of them at
 	// missedAt.
@@ -173,7 +175,7 @@
 }
 
 // ZonePeers returns the other members of this instance's zone that are not
-// gone.
+// gone and have a known peer address.
 func (ta *Table) ZonePeers() []Member {
 	all := ta.View().In(ta.Self.Zone, Joining, Live, Leaving, Suspected)
 	return slices.DeleteFunc(all, func(me Member) bool { return me.Name == ta.Self.Name || me.Peer == "" })
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -46,8 +46,8 @@
 
 // View is an immutable snapshot of the members.
 type View struct {
-	// Version increases with each change of the membership or of a member's
-	// state.
+	// Version increases with each change of the membership, or of a member's
+	// state, peer address or start time.
 	Version int64
 	// Members are all known instances, including this one, sorted by name.
 	Members []Member
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -11,7 +11,7 @@
 //	go se.Run(ctx)
 //
 //	cl := &peer.Client{}
-//	err := cl.Call(ctx, "127.0.0.1:7101", "Admission.Acquire", args, &reply)
+//	err = cl.Call(ctx, "127.0.0.1:7101", "Admission.Acquire", args, &reply)
 package peer
 
 import (
@@ -39,7 +39,8 @@
 const (
 	// Unreachable means that there was no connection. The call was not sent.
 	Unreachable ErrorKind = "unreachable"
-	// Lost means that the call was sent and not answered. It may have run.
+	// Lost means that there was a connection, but no answer. The call may have
+	// run.
 	Lost ErrorKind = "lost"
 	// Remote means that the other instance answered with an error.
 	Remote ErrorKind = "remote"
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -143,6 +143,8 @@
 	g.Expect(up.Endpoints[0].ColdUntil).To(BeZero())
 }
 
+// An instance must not follow a reader that does not read the store itself, or
+// whose state is too old.
 func TestJudge(t *testing.T) {
 	for _, ca := range []struct {
 		name string
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -163,7 +163,7 @@
 }
 
 // SetEvacuatedZones replaces the set of zones whose endpoints get no new
-// requests. The zones are sorted.
+// requests. The argument must be sorted.
 func (ro *Roster) SetEvacuatedZones(zones []string) {
 	if slices.Equal(ro.View().Evacuated(), zones) {
 		return
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -46,7 +46,8 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	RetryClass RetryClass
-	// Timeout bounds the time from the arrival of a request to its last byte.
+	// Timeout bounds the time from the arrival of a request to the last byte of
+	// its answer.
 	Timeout time.Duration
 	// Objective is the target time to the answer, or to the first event of a
 	// stream. A later answer is worth less.
@@ -89,7 +90,8 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections limits the connections to one endpoint, over all clients.
+	// MaxConnections is the configured limit on the connections to one endpoint
+	// from all instances together. No code enforces it.
 	MaxConnections int
 	// ColdStart is the duration of an endpoint's cold start.
 	ColdStart time.Duration
@@ -109,7 +111,9 @@
 	HasPriority bool
 }
 
-// Limits bounds the sizes and timings of incoming requests.
+// Limits holds the configured limits for incoming requests. Only BodyBytes is
+// enforced, by package dispatch; zero means no limit. Package ingress has fixed
+// limits in place of the others.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -136,7 +140,7 @@
 	Services []Service
 	Teams    []Team
 	Limits   Limits
-	// Source is the serialized configuration, from which instances that cannot
-	// reach the store decode it.
+	// Source is the serialized configuration, which other instances fetch through
+	// package relay and decode.
 	Source []byte
 }
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -8,10 +8,10 @@
 //
 // # Usage
 //
-//	st := &routing.State{Clock: boottime.Clock{}}
+//	st := &routing.State{Clock: boottime.System{}}
 //	st.Put(cf)                  // by the controller that follows the store
 //	st.Confirm(askedAt)         // each time the store confirmed the version
-//	cf := st.Load()
+//	cf = st.Load()
 //	ro, found := cf.Match("books.example", "/guides/7")
 //	te, found := cf.Team(key)
 package routing
--- a/internal/trace/loss.go
+++ b/internal/trace/loss.go
@@ -17,7 +17,7 @@
 const (
 	EndingDelivered Ending = "delivered"
 	// EndingPaused means that all events were delivered, with a gap between two
-	// events that exceeded the route's objective.
+	// events that exceeded the route's MaxGap.
 	EndingPaused Ending = "delivered_paused"
 	// EndingEngineDrained and EndingEngineLost mean that the engine stopped before
 	// the generation was complete. In the first case, the instance knew before the
