--- a/internal/call/header.go
+++ b/internal/call/header.go
@@ -23,8 +23,8 @@
 	endpoint.KeyHeader, endpoint.FencingHeader,
 )
 
-// reservedResponseHeaders are the response headers that the entry server sets.
-// They are not copied from the endpoint's response.
+// reservedResponseHeaders are the response headers that are not copied from the
+// endpoint's response. The entry server sets its own Date and sends no Server.
 var reservedResponseHeaders = headerSet("Date", "Server")
 
 func headerSet(list ...string) map[string]bool {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -50,9 +50,10 @@
 	CreateGeneration filter.Handler
 	ResumeGeneration filter.Handler
 	Call             filter.Handler
-	// OpenStreams returns the number of streams that continue after their handler
-	// returned. HandOver ends them with an event that tells the caller how to
-	// resume, and returns their number. Both may be nil.
+	// OpenStreams returns the number of open responses of generations, streamed or
+	// not. Streams continue after their handler returned. HandOver ends these
+	// responses, tells each caller how to resume, and returns their number. Both
+	// may be nil.
 	OpenStreams func() int
 	HandOver    func() int
 	// Hangups detects callers that close their connection. If it is nil, they are
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -17,15 +17,16 @@
 	// drain.
 	drainPollInterval = 20 * time.Millisecond
 	// handOverTimeout is the time for writing the last events of streams that are
-	// handed over, and the refusals of waiting requests.
+	// handed over, and the refusals of other requests.
 	handOverTimeout = 3 * time.Second
 )
 
 // Stop shuts the server down gracefully. New requests are refused immediately,
-// and requests in flight may finish until ctx ends. Then requests that still wait
-// for a place at an endpoint are refused, and open streams are handed over. Stop
-// returns the number of streams that were handed over, and an error if requests
-// were still open when the listener was closed.
+// and requests in flight may finish until ctx ends. Then the contexts of the
+// remaining requests are canceled, so that those that wait for a place at an
+// endpoint are refused, and HandOver ends the open responses of generations. Stop
+// returns the number that HandOver returned, and an error if requests were still
+// open when the listener was closed or if closing the connections failed.
 func (se *Server) Stop(ctx context.Context) (handedOver int, err error) {
 	se.stopping.Store(true)
 	listenerDelay := se.Clock.After(unreadyDelay)
@@ -58,7 +59,8 @@
 }
 
 // OpenRequests returns the number of requests that a handler is serving, plus
-// the number of streams that continue after their handler returned.
+// OpenStreams. A generation that is not streamed is in both numbers, because its
+// handler runs until its response ends.
 func (se *Server) OpenRequests() int {
 	count := int(se.activeHandlers.Load())
 	if se.OpenStreams != nil {
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -2,8 +2,8 @@
 // through.
 //
 // A filter checks the request or sets fields of the Exchange, and calls the next
-// handler. The handler at the end of the chain serves the request. An error that
-// the chain returns is a refusal, which package entry writes and counts.
+// handler. The handler at the end of the chain serves the request. Package entry
+// writes an error that the chain returns as a refusal and counts it.
 //
 // # Usage
 //
@@ -29,7 +29,9 @@
 	// Context ends at the deadline, when the caller closes its connection, or
 	// when a graceful shutdown refuses the requests that still wait.
 	Context context.Context
-	// ID identifies the request in logs and explanations and at endpoints.
+	// ID identifies the request to its caller and in the explanation of a refusal.
+	// The IDs of its requests for a place, which logs and explanations show, begin
+	// with it.
 	ID string
 	// Arrived is the time at which the request was read.
 	Arrived time.Time
@@ -41,7 +43,8 @@
 	Team kind.Team
 }
 
-// Handler serves an exchange, or returns the refusal if it cannot.
+// Handler serves an exchange, or returns why it cannot. An error that is not a
+// refusal counts as a refusal with reason Internal.
 type Handler func(ex *Exchange) error
 
 // Filter adds a step before a handler. Wrap returns a handler that does this step
--- a/internal/generation/doc.go
+++ b/internal/generation/doc.go
@@ -1,6 +1,7 @@
 // Package generation serves text generations of language models. For each
 // request it acquires a grant, starts the generation at the granted engine and
-// relays the engine's tokens to the caller, each exactly once and in order.
+// relays the engine's tokens to the caller, each exactly once and in order. An
+// engine is an endpoint of a model service.
 //
 // # Usage
 //
--- a/internal/generation/document.go
+++ b/internal/generation/document.go
@@ -11,7 +11,7 @@
 	"filbertstall.example/filbertstall/internal/refusal"
 )
 
-// chunk holds the fields of an engine's event that make up the text of an
+// chunk holds the fields of an engine's event that make up the text of a
 // non-streaming response.
 type chunk struct {
 	Choices []struct {
--- a/internal/generation/recovery.go
+++ b/internal/generation/recovery.go
@@ -205,7 +205,7 @@
 	if se.gr != nil {
 		le = le.Str("endpoint", se.gr.Endpoint.Name)
 	}
-	le.Msg("generation: stream from the engine failed; the step field names the recovery action")
+	le.Msg("generation: start or stream failed; the step field names the recovery action")
 }
 
 // resultOf returns the result with which a grant is released after err.
--- a/internal/generation/relay.go
+++ b/internal/generation/relay.go
@@ -26,10 +26,10 @@
 // event fits in it.
 const initialLineBytes = 512
 
-// relay is the body of a streamed response. The server reads from it, so that no
-// token is read from the engine before the previous one was written to the
-// caller's socket. Memory for a slow caller is thereby bounded by buffers of fixed
-// size.
+// relay is the body of a streamed response. The server reads from it, so that
+// nothing is read from the engine before the bytes of the previous Read were written
+// to the caller's socket. Memory for a slow caller is thereby bounded by buffers of
+// fixed size.
 type relay struct {
 	se *session
 	// token is the generation ID that the caller sees. It becomes final with the
@@ -137,8 +137,9 @@
 	}
 }
 
-// finalizeToken binds the token to the engine that made the first token of text.
-// It does nothing if the token is already final.
+// finalizeToken binds the token to the engine that currently runs the generation.
+// Only the first call has an effect, which is that for the first token of text or
+// at the end of the response. Without a grant it does nothing.
 func (re *relay) finalizeToken() {
 	if re.tokenFinal || re.se.gr == nil {
 		return
--- a/internal/generation/session.go
+++ b/internal/generation/session.go
@@ -73,7 +73,7 @@
 
 // seedOf derives a generation's seed from its ID, so that any instance that has
 // the ID continues the generation with the same seed. It returns zero for an ID
-// that is not at least 8 hexadecimal digits.
+// that is not the hexadecimal form of at least 4 bytes.
 func seedOf(id string) uint64 {
 	raw, err := hex.DecodeString(id)
 	if err != nil || len(raw) < 4 {
--- a/internal/generation/token.go
+++ b/internal/generation/token.go
@@ -84,8 +84,8 @@
 	return base64.RawURLEncoding.Strict().EncodeToString(ha.Sum(nil)[:macBytes])
 }
 
-// splitEventID splits an event ID of the form "<generation>/<offset>". It
-// reports false if there is no slash.
+// splitEventID splits an event ID of the form "<token>/<offset>". It reports false
+// if there is no slash.
 func splitEventID(text string) (token, offset string, ok bool) {
 	cut := strings.LastIndexByte(text, '/')
 	if cut < 0 {
--- a/internal/record/doc.go
+++ b/internal/record/doc.go
@@ -10,8 +10,9 @@
 //
 // Entries are distributed over a few shards, each of which is one object of the
 // platform. An instance batches all changes to a shard into one conditional
-// update, on average at most one per WriteInterval. Finished entries are moved
-// to immutable segments, so that the object that is rewritten stays small.
+// update, on average at most one per WriteInterval, not counting retries. Finished
+// entries are moved to immutable segments, so that the object that is rewritten
+// stays small.
 //
 // # Usage
 //
--- a/internal/record/error.go
+++ b/internal/record/error.go
@@ -5,14 +5,16 @@
 	"fmt"
 )
 
-// ErrorKind classifies why a change was not recorded.
+// ErrorKind classifies why a change was not recorded or an entry not read.
 type ErrorKind string
 
 // The kinds of error that this package reports.
 const (
-	// Unavailable means that the platform did not answer in time.
+	// Unavailable means that no attempt to read or write the shard succeeded in
+	// time, or that a segment could not be read. The platform may have failed to
+	// answer, or an object in it may be corrupt.
 	Unavailable ErrorKind = "unavailable"
-	// Full means that the shard has no room for another entry.
+	// Full means that the shard has no room for the entry or its answer.
 	Full ErrorKind = "full"
 	// Corrupt means that a stored object cannot be decoded or is not consistent.
 	Corrupt ErrorKind = "corrupt"
--- a/internal/record/rate_test.go
+++ b/internal/record/rate_test.go
@@ -81,6 +81,10 @@
 	return time.Since(begun), err
 }
 
+// Scenario: the rate of keyed calls grows to 1000 per second. Without batching, each
+// call would cost two writes, its begin and its answer, and the fleet would exceed
+// maxWritesPerSecond. No object may be larger than half of the size that the
+// platform accepts.
 func TestWritesPerCall(t *testing.T) {
 	for _, ca := range []struct{ perSecond, seconds int }{{10, 10}, {100, 10}, {1000, 1}} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -67,8 +67,8 @@
 	RetryCorrupt Reason = "corrupt"
 	// RefusedFull counts changes that were refused because their shard was full.
 	RefusedFull Reason = "full"
-	// SegmentLeft counts segments that stay in the store although possibly no
-	// page refers to them.
+	// SegmentLeft counts segments that may stay in the store without a page that
+	// refers to them, because the response to a write was lost.
 	SegmentLeft Reason = "segment_left"
 )
 
@@ -86,8 +86,9 @@
 	Log      zerolog.Logger
 	Scope    tally.Scope
 	// WriteInterval is the minimum average interval between two writes of this
-	// instance to a shard. It limits the write rate of the fleet, and the latency
-	// that batching adds to a call. Zero means 100 ms.
+	// instance to a shard. Retries, and writes of segments, are not counted. It
+	// limits the write rate of the fleet, and the latency that batching adds to a
+	// call. Zero means 100 ms.
 	WriteInterval time.Duration
 	// Retention is the minimum time for which the outcome of a call is kept,
 	// counted from the deadline of the call. Zero means 24 h.
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -73,9 +73,11 @@
 	return data, nil
 }
 
-// Close ends the call. The connection is returned to the pool if the whole answer
-// was read and no further data has arrived. Otherwise it is closed, which cancels
-// the request at the endpoint.
+// Close ends the call. The connection is returned to the pool if the whole request
+// was written, the whole answer was read, the endpoint keeps the connection open,
+// the context has not ended and no unread data is buffered. Otherwise it is closed,
+// which cancels the request at the endpoint. After a chunked body it is closed as
+// well, because the reader of chunks leaves the final line break in the buffer.
 func (an *Answer) Close() {
 	if an.closed {
 		return
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -20,8 +20,9 @@
 	Target string
 	// Host is the value of the Host header field.
 	Host string
-	// ID is the value that the answer must have in the field Pool.IDHeader. If it
-	// is empty, any answer is accepted.
+	// ID is the value that the answer must have in the field Pool.IDHeader. Do does
+	// not send it, so Headers must contain it as well. If it is empty, any answer is
+	// accepted.
 	ID      string
 	Headers []Header
 	Body    []byte
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -8,7 +8,10 @@
 // # Usage
 //
 //	po := &upstream.Pool{IDHeader: "Request-Id", Clock: clock}
-//	an, err := po.Do(ctx, upstream.Call{Address: "10.0.0.1:80", Method: "GET", Target: "/x", ID: "7"})
+//	an, err := po.Do(ctx, upstream.Call{
+//		Address: "10.0.0.1:80", Method: "GET", Target: "/x", Host: "10.0.0.1",
+//		ID: "7", Headers: []upstream.Header{{Name: "Request-Id", Value: "7"}},
+//	})
 //	body, err := an.ReadAll(4 << 20)
 //	an.Close()
 //
