--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -35,10 +35,12 @@
 
 // The kinds of error that this package reports.
 const (
-	// Unreadable means that a file cannot be read.
+	// Unreadable means that a file does not exist or cannot be accessed, or that
+	// CAFile cannot be read.
 	Unreadable ErrorKind = "unreadable"
-	// Invalid means that a file holds no usable certificate or key, or that the
-	// certificate of a peer is missing or not signed by a known authority.
+	// Invalid means that the certificate or key cannot be loaded, that CAFile
+	// holds no certificate, or that the certificate of a peer is missing, expired
+	// or not signed by a known authority.
 	Invalid ErrorKind = "invalid"
 )
 
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -30,12 +30,13 @@
 type Standing struct {
 	// Version is the version in force on this instance. Zero means none.
 	Version int64 `json:"version"`
-	// PlatformVersion is the version that this instance last read from the
-	// platform. If it is lower than Version, the platform has been restored from
-	// an old backup.
+	// PlatformVersion is the version that the Watcher of this instance last read
+	// from the platform, or that this instance last wrote there for a plan. If it
+	// stays lower than Version while the Watcher is elected, the platform has been
+	// restored from an old backup.
 	PlatformVersion int64 `json:"platform_version,omitempty"`
-	// PlatformAt is when the platform last answered this instance. It is zero
-	// on instances that do not watch the platform.
+	// PlatformAt is when the platform last answered the Watcher of this instance.
+	// It is zero if it has not done so since the instance started.
 	PlatformAt time.Time `json:"platform_at,omitzero"`
 	// Diverged means that this instance has received a configuration that had
 	// the version then in force but different content. It stays true until the
@@ -81,7 +82,7 @@
 	return Standing{Version: st.Version(), PlatformVersion: st.platformVersion, PlatformAt: st.platformAnsweredAt, Diverged: st.diverged}
 }
 
-// RecordPlatformAnswer records the time at which the platform last answered.
+// RecordPlatformAnswer records that the platform answered at the given time.
 func (st *State) RecordPlatformAnswer(at time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -37,7 +37,8 @@
 	// Seeds are the peer addresses to ask for members while the platform does not
 	// answer.
 	Seeds []string
-	// Stop starts the graceful shutdown of this instance.
+	// Stop starts the graceful shutdown of this instance. It must be idempotent,
+	// because the request to stop is repeated until the instance is gone.
 	Stop func()
 
 	State       *configuration.State
@@ -96,8 +97,9 @@
 	}
 }
 
-// CountGrants returns a granter that passes all calls to gr and counts the
-// grants in use by endpoint.
+// CountGrants returns a granter that passes calls on to gr, counts the grants in
+// use by endpoint, and checks each grant against the configuration in force. A
+// later call replaces gr.
 func (co *Control) CountGrants(gr admission.Granter) admission.Granter {
 	co.counter.Granter = gr
 	return co.counter
@@ -110,7 +112,7 @@
 }
 
 // memberSeen receives the version in force at another member. It lets the
-// distributor pull the configuration from a member that has a higher version.
+// distributor fetch the configuration from a member that has a higher version.
 func (co *Control) memberSeen(me member.Member) {
 	co.distributor.HandleNotice(configuration.Notice{Version: me.Version, Zone: me.Zone, Address: me.Peer})
 }
@@ -138,8 +140,8 @@
 	return list
 }
 
-// Leave tells the other instances that this instance stops. It takes at most
-// leaveTimeout.
+// Leave announces the stop of this instance to the members that it probes. It
+// takes at most leaveTimeout.
 func (co *Control) Leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
--- a/internal/control/counter.go
+++ b/internal/control/counter.go
@@ -25,7 +25,8 @@
 // it against the configuration in force. It releases a grant that is no longer
 // allowed and tries another endpoint. If InFlight reports zero for a drained
 // endpoint after the drain is in force, no grant that was decided on an older
-// configuration is used later.
+// configuration is used later. This does not cover requests with Only, which
+// stillEligible always allows.
 func (co *Counter) Acquire(ctx context.Context, re admission.Request) (*admission.Grant, error) {
 	for {
 		gr, err := co.Granter.Acquire(ctx, re)
@@ -43,8 +44,8 @@
 }
 
 // stillEligible reports whether the configuration in force still allows the
-// grant. A request that continues a generation at its endpoint is always
-// allowed.
+// grant. A request with Only, which continues a generation at its endpoint, is
+// always allowed.
 func (co *Counter) stillEligible(gr *admission.Grant) bool {
 	if gr.Request.Only != "" {
 		return true
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,9 +17,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Controller is one background loop. Run returns nil or the context's error when
-// ctx ends; any other error stops the process. Name identifies the controller in
-// that error.
+// Controller is one background loop. Run returns nil or context.Canceled when ctx
+// is canceled. Any other error stops the process. Name identifies the controller
+// in that error.
 type Controller interface {
 	Name() string
 	Run(ctx context.Context) error
--- a/internal/document/doc.go
+++ b/internal/document/doc.go
@@ -10,6 +10,6 @@
 //	so.Add("limits.timeout", "must be above 0s")
 //	err = so.Err()
 //
-// A type that stores its JSON undecoded for later implements Shaped, which
-// returns the type that the JSON is checked against.
+// A type that stores its JSON undecoded for later implements Shaped. Its method
+// Shape returns the type that the JSON is checked against.
 package document
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -49,8 +49,9 @@
 	return bytes.Contains(bytes.TrimLeft(rest, "\r\n"), eventEnd)
 }
 
-// Interrupt closes the connection, so that a blocked call of Next and all later
-// ones fail. It may be called while another goroutine is in Next.
+// Interrupt closes the connection. A blocked call of Next fails, and later calls
+// fail once the buffered events have been returned. Interrupt may be called while
+// another goroutine is in Next.
 func (st *Stream) Interrupt() { _ = st.conn.Close() }
 
 var (
--- a/internal/healthcheck/checker.go
+++ b/internal/healthcheck/checker.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// probeInterval is the time between two rounds. An engine shuts down 1.5 s
-	// after its notice, and its answer to a probe is up to half a second old.
+	// probeInterval is the time between two rounds. It is short because an engine
+	// shuts down 1.5 s after its notice, and because its answer to a probe is up to
+	// half a second old.
 	probeInterval = 250 * time.Millisecond
 	// probeTimeout is the timeout of one round of probes.
 	probeTimeout = 400 * time.Millisecond
@@ -36,7 +37,8 @@
 	Runs func() []roster.Endpoint
 	// StoreStale reports whether the view of the store is stale.
 	StoreStale func() bool
-	// Leave is called with the ID of an engine that is about to shut down.
+	// Leave is called with the ID of an engine that is about to shut down. Calls
+	// may be concurrent.
 	Leave func(id string)
 	Clock clockwork.Clock
 	Log   zerolog.Logger
--- a/internal/plan/await.go
+++ b/internal/plan/await.go
@@ -66,8 +66,8 @@
 }
 
 // countRequests counts the requests in flight at the endpoints that include
-// selects. The count is complete only if coverage contains every instance, since
-// those that do not answer or have an older version in force may have more.
+// selects. The count is complete only if coverage.Missing is empty, since the
+// instances that do not answer or have an older version in force may have more.
 func countRequests(answers []Answer, version int64, include func(endpoint string) bool) (requests int, coverage InForce) {
 	coverage = CountInForce(version, answers)
 	for _, an := range answers {
--- a/internal/plan/cancel.go
+++ b/internal/plan/cancel.go
@@ -54,9 +54,9 @@
 }
 
 // releaseLost releases the locks of a plan that the head still names but whose
-// object is missing because the platform was restored from an old backup. The
-// changes that the plan applied remain. It returns notFound if the head has no
-// running move of the plan either.
+// object is missing or cannot be decoded, for example because the platform was
+// restored from an old backup. The changes that the plan applied remain. It
+// returns notFound if the head has no running move of the plan either.
 func (se *Service) releaseLost(ctx context.Context, id string, notFound error) (Plan, error) {
 	bu, _, err := se.readHead(ctx, "cancel", id)
 	if err != nil {
@@ -122,8 +122,8 @@
 	return "stays as changed: " + strings.Join(remaining, ", ") + "; state another intent to change it back"
 }
 
-// undoable reports whether a change of the first step only drained an endpoint
-// that a later step of the plan would have moved.
+// undoable reports whether a change of the first step drained an endpoint that a
+// later step of the plan was to move or remove.
 func undoable(pl Plan, ch Change) bool {
 	if ch.Kind != "endpoint" || ch.Before == nil || ch.After == nil {
 		return false
--- a/internal/plan/confirm.go
+++ b/internal/plan/confirm.go
@@ -15,8 +15,9 @@
 
 // Confirm applies the first step of a plan if the configuration has not changed
 // since the plan was made. It is idempotent: confirming a plan again changes
-// nothing and succeeds. It returns an error of kind Conflict if the plan is
-// refused or canceled, and one of kind Unavailable if the caller can try again.
+// nothing and succeeds. It returns an error of kind Unknown if there is no such
+// plan, one of kind Conflict if the plan is refused or canceled, and one of kind
+// Unavailable if the caller can try again.
 func (se *Service) Confirm(ctx context.Context, id, confirmer string) (Plan, error) {
 	for range conflictAttempts {
 		re, err := se.load(ctx, "confirm", id)
@@ -122,9 +123,9 @@
 	return se.publish(ctx, bu, object, changes, mo)
 }
 
-// checkPlatformLag returns errPlatformBehind if any instance has a higher version
-// in force than the platform shows. It asks every instance because the member
-// view of an instance that has just started can miss a higher version.
+// checkPlatformLag returns errPlatformBehind if any instance that answers has a
+// higher version in force than the platform shows. It asks every instance because
+// the member view of an instance that has just started can miss a higher version.
 func (se *Service) checkPlatformLag(ctx context.Context, version int64) error {
 	for _, an := range se.Fleet.Reports(ctx) {
 		if an.Err == nil && an.Report.Standing.Version > version {
--- a/internal/plan/service.go
+++ b/internal/plan/service.go
@@ -83,9 +83,9 @@
 // Make builds a plan from the text of an intent file and stores it in the
 // platform. It does not change the configuration. author is the team of the
 // operator, and file names the intent file in errors. The error is of kind
-// Invalid if the intent is wrong. It is of kind Unavailable if the configuration
-// cannot be read, or is older than the one in force, or if the plan cannot be
-// stored.
+// Invalid if the intent is wrong. It is of kind Unavailable if this instance is
+// not settled, if the configuration cannot be read or is older than the one in
+// force, or if the plan cannot be stored.
 func (se *Service) Make(ctx context.Context, author, file string, data []byte) (Plan, error) {
 	in, err := intent.Parse(file, data)
 	if err != nil {
@@ -136,7 +136,9 @@
 
 // readHead reads the configuration from the platform, with the version of the
 // head's object. It fails while the platform shows an older version than the one
-// in force, since a change on top of it would revert accepted changes.
+// in force, since a change on top of it would revert accepted changes. It also
+// fails until this instance is settled, since it may not know the highest version
+// in force before.
 func (se *Service) readHead(ctx context.Context, op, id string) (*configuration.Bundle, int64, error) {
 	if !se.Fleet.Settled() {
 		se.count(RefusedUnsettled)
--- a/internal/plan/sweep.go
+++ b/internal/plan/sweep.go
@@ -57,10 +57,11 @@
 }
 
 // Sweep removes the shards that were unreferenced at the last sweep, still are,
-// and have not been written since. It also removes the plans that are past
-// planRetention. Sweep returns an error and removes nothing if this instance is
-// not settled, or if the platform cannot be read or shows an older configuration
-// than the one in force.
+// and have not been written since. The head references its shards, and a plan
+// that is not in a terminal state references those of its base version. Sweep
+// also removes the plans that ended more than planRetention ago. It returns an
+// error and removes nothing if this instance is not settled, or if the platform
+// cannot be read or shows an older configuration than the one in force.
 func (sw *Sweeper) Sweep(ctx context.Context) error {
 	shards, err := sw.Store.List(ctx, configuration.ShardPrefix)
 	if err != nil {
--- a/pkg/kind/kind_test.go
+++ b/pkg/kind/kind_test.go
@@ -18,7 +18,7 @@
 }
 
 func init() {
-	// A fixed seed gives CI the same verdict every run.
+	// A fixed seed makes runs of CI reproducible.
 	_ = flag.Set("rapid.seed", "20261203")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
