--- a/internal/bench/latency.go
+++ b/internal/bench/latency.go
@@ -12,8 +12,8 @@
 )
 
 // latency is a histogram of durations with a resolution of 1 µs and three
-// significant digits. Longer durations count as longestLatency. It is not safe
-// for concurrent use.
+// significant digits. Durations above longestLatency count as longestLatency. It
+// is not safe for concurrent use.
 type latency struct{ hi *hdrhistogram.Histogram }
 
 func newLatency() latency {
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -13,13 +13,15 @@
 	"filbertstall.example/filbertstall/internal/scenario"
 )
 
-// The targets that charts show as limits.
 const (
-	gapTargetMS          = 41
-	firstTokenTargetS    = 0.84
-	preemptionTarget     = 2
-	stallTargetSeconds   = 0.5
-	shortWaitTargetMS    = 200
+	// The targets that charts show as limits. preemptionTarget is per 1,000
+	// requests.
+	gapTargetMS        = 41
+	firstTokenTargetS  = 0.84
+	preemptionTarget   = 2
+	stallTargetSeconds = 0.5
+	shortWaitTargetMS  = 200
+
 	reportFilePermission = 0o600
 )
 
--- a/internal/bench/simulation/row.go
+++ b/internal/bench/simulation/row.go
@@ -7,10 +7,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Row is the result of one run. It excludes requests that arrive during
-// unmeasuredTime, or during the first quarter of runs shorter than four times
-// that, as the allocator learns answer lengths then. The counts ColdOverloadCount
-// and EndpointsLost cover the whole run.
+// Row is the result of one run. It excludes unmeasuredTime at the start, or the
+// first quarter of runs shorter than four times that, as the allocator learns
+// answer lengths then. Token gaps, preemptions and goodput count by the time at
+// which they occur, and the other measurements by the arrival of the request. The
+// counts ColdOverloadCount and EndpointsLost cover the whole run.
 type Row struct {
 	Policy  Policy  `json:"policy"`
 	Seed    uint64  `json:"seed"`
--- a/internal/bench/smoke.go
+++ b/internal/bench/smoke.go
@@ -106,8 +106,8 @@
 }
 
 // allKnown reports whether every fault of a result is listed, and prints the
-// listed faults. The count at the start of a fault is not compared, as it varies
-// between runs.
+// listed faults up to the first that is not. The count at the start of a fault is
+// not compared, as it varies between runs.
 func (sm *smoke) allKnown(known []string, re scenario.Result) bool {
 	for _, fault := range re.Faults {
 		_, what, _ := strings.Cut(fault, " ")
--- a/internal/bench/survival.go
+++ b/internal/bench/survival.go
@@ -158,8 +158,9 @@
 	}
 }
 
-// injectFault silences all engine connections, or kills engines and entry
-// instances. It returns the number of generations that ran on the killed engines.
+// injectFault silences the open requests at all endpoints, or kills engines and
+// entry instances. It returns the number of generations that ran on the killed
+// engines.
 func (su *survival) injectFault(ctx context.Context, fl *fleet.Fleet) (hit int, err error) {
 	if su.Silent {
 		for _, en := range fl.Report.Endpoints {
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -22,7 +22,8 @@
 	callTimeout = 15 * time.Second
 	// maxAttempts is the maximum number of attempts of a request that gets no
 	// response. All requests are safe to retry: confirming and canceling a plan
-	// are idempotent.
+	// are idempotent, and a plan that is made twice changes nothing until it is
+	// confirmed.
 	maxAttempts = 4
 	// retryDelay is the delay after each attempt that got no response.
 	retryDelay = 300 * time.Millisecond
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -10,7 +10,8 @@
 //   - 1: the command failed.
 //   - 2: the command line is invalid.
 //   - 3: the plan was refused because the configuration that it is based on has
-//     changed, or because the plan has ended.
+//     changed, because another plan holds one of its objects, or because the plan
+//     has ended.
 //   - 4: the plan is confirmed and is still being applied, but was not done within
 //     the time to wait.
 package command
--- a/internal/command/page_test.go
+++ b/internal/command/page_test.go
@@ -228,6 +228,9 @@
 	t.Fatal("the instances are not ready after 100 attempts")
 }
 
+// TestOperatorPages runs the commands of the operators' documentation. It fails if a
+// page no longer matches the program: a command ends with another exit code, or the
+// lines shown below it do not occur in its output.
 func TestOperatorPages(t *testing.T) {
 	for _, name := range []string{"intents", "zones", "halves", "endpoints", "instances"} {
 		t.Run(name, func(t *testing.T) {
@@ -247,6 +250,8 @@
 	}
 }
 
+// TestRoles fails if a viewer can make, confirm or cancel a plan, or if a refused
+// command has the wrong exit code or does not name the reason.
 func TestRoles(t *testing.T) {
 	t.Setenv("FILBERTSTALL_OPERATOR", startFleet(t))
 	t.Setenv("FILBERTSTALL_TOKEN", operatorToken)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -39,8 +39,9 @@
 	"filbertstall.example/filbertstall/pkg/kind"
 )
 
-// Report holds the name, process ID and listener addresses of an instance. The
-// command serve prints it as one JSON line when all listeners are open.
+// Report holds the name, zone, process ID and listener addresses of an instance.
+// Caller and Operator are URLs, and Peer is an IP address and port. The command
+// serve prints a Report as one JSON line when all listeners are open.
 type Report struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone"`
@@ -70,10 +71,11 @@
 	requestStop context.CancelFunc
 }
 
-// Run runs the instance until ctx ends or a controller fails. When ctx ends, it
-// shuts down gracefully: it accepts no new work and waits for open responses until
-// the stop timeout of the settings. It then refuses the requests that are still
-// queued and hands over the streams that are still open.
+// Run runs the instance until ctx ends, a plan stops the instance or a controller
+// fails. In the first two cases, it shuts down gracefully: it accepts no new work
+// and waits for open responses until the stop timeout of the settings. It then
+// refuses the requests that are still queued and hands over the streams that are
+// still open.
 func (da *Daemon) Run(ctx context.Context) error {
 	li, err := da.listen()
 	if err != nil {
@@ -109,9 +111,9 @@
 	da.allocation.Leave(ctx)
 	handedOver, err := da.entry.Stop(ctx)
 	if err != nil {
-		da.Log.Warn().Err(err).Msg("daemon: graceful shutdown incomplete; some responses were still open")
+		da.Log.Warn().Err(err).Msg("daemon: graceful shutdown incomplete")
 	}
-	da.Log.Info().Int("streams_handed_over", handedOver).Msg("daemon: shutdown complete")
+	da.Log.Info().Int("streams_handed_over", handedOver).Msg("daemon: stopped")
 }
 
 func (da *Daemon) report(li listeners) Report {
--- a/internal/explain/ring.go
+++ b/internal/explain/ring.go
@@ -47,8 +47,8 @@
 	Step     Step      `json:"step"`
 	Zone     string    `json:"zone,omitempty"`
 	Endpoint string    `json:"endpoint,omitempty"`
-	// Instance is the name of the instance that decided. It is empty if this
-	// instance decided itself.
+	// Instance is the name of another instance that made the decision. No
+	// component sets it.
 	Instance string `json:"instance,omitempty"`
 	Reason   string `json:"reason,omitempty"`
 	// WaitedMS is the time that the request waited before it was refused, in
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -9,6 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
+// TestFor fails if For returns early, or sleeps on after its context was canceled.
 func TestFor(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
--- a/internal/platform/budget.go
+++ b/internal/platform/budget.go
@@ -19,7 +19,8 @@
 	ClassConfiguration Class = iota
 	// ClassRecord is for the stored records of calls.
 	ClassRecord
-	// ClassStatus is for status reports, which can wait the longest.
+	// ClassStatus is for status reports, which can wait the longest. No component
+	// makes calls of this class.
 	ClassStatus
 	classCount
 )
--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -15,7 +15,7 @@
 )
 
 // Defaults of the fields of a Guard that are zero. With these rates, a fleet of 7
-// instances stays below 420 writes and 1,750 reads per second.
+// instances averages at most 420 writes and 1,750 reads per second.
 const (
 	defaultWritesPerSecond  = 60
 	defaultReadsPerSecond   = 250
@@ -45,7 +45,7 @@
 	// back did not show, because the object has changed since.
 	Undecided Reason = "undecided"
 	// OverBudget counts calls that got no token of the rate budget before their
-	// deadline.
+	// deadline or their cancellation.
 	OverBudget Reason = "over_budget"
 	// BreakerOpened counts transitions of the circuit breaker from closed to
 	// open.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -79,8 +79,8 @@
 	// Conflict means that the object has another version and that the write did
 	// not take effect.
 	Conflict ErrorKind = "conflict"
-	// Unavailable means that a read got no response, or that a write was not
-	// sent or not accepted and had no effect.
+	// Unavailable means that a read got no usable response, or that a write was
+	// not sent or not accepted and had no effect.
 	Unavailable ErrorKind = "unavailable"
 	// Unknown means that the response to a write was lost. The write may have
 	// taken effect or may still do so.
--- a/internal/scenario/doc.go
+++ b/internal/scenario/doc.go
@@ -8,7 +8,9 @@
 //		fmt.Println(re.Name, re.Pass(), re)
 //	}
 //
-// A scenario passes if every count that has to be zero is zero. Latencies do not
-// influence the result. The only time limit that is checked is the one after which
-// no new work may start in a zone that was taken out of service.
+// A scenario passes if it runs to its end and every count that has to be zero is
+// zero. Latencies do not influence the result. Only the zone scenario has time
+// limits: no new work may start in a zone later than zoneOutLimit after the request
+// to take it out of service, and the zone has to receive work again within
+// zoneReturnPeriod after it was brought back.
 package scenario
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -33,7 +33,7 @@
 	Lookups       int `json:"lookups"`
 	FailedLookups int `json:"failed_lookups"`
 	// LateStarts counts generations and calls that started in a zone later than
-	// zoneOutLimit after it was taken out of service.
+	// zoneOutLimit after the operator's request to take it out of service.
 	LateStarts int `json:"late_starts"`
 	// BadExits counts processes that did not shut down gracefully.
 	BadExits int `json:"bad_exits"`
--- a/internal/scenario/zone.go
+++ b/internal/scenario/zone.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// zoneOutLimit is how long new work may still start in a zone after it was
-	// taken out of service.
+	// zoneOutLimit is how long new work may still start in a zone after the
+	// operator's request to take it out of service.
 	zoneOutLimit = 3 * time.Second
 	// zoneOutObservation is how long the zone stays out of service after the
 	// limit. Work that starts in this time counts as late.
@@ -28,11 +28,11 @@
 // limit, brings the zone back and checks that it receives work again.
 func runZone(st *state) error {
 	st.wait(2 * time.Second)
-	confirmed := time.Now()
+	requestedAt := time.Now()
 	if err := st.applyIntent("out", `{"actions": [{"take_zone_out": "zilina-b"}]}`); err != nil {
 		return err
 	}
-	limit := confirmed.Add(zoneOutLimit)
+	limit := requestedAt.Add(zoneOutLimit)
 	st.wait(time.Until(limit.Add(zoneOutObservation)))
 	returnAt := time.Now()
 	if err := st.countZoneStarts(limit, returnAt, &st.re.LateStarts); err != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -3,8 +3,8 @@
 // # Usage
 //
 //	var ho snapshot.Holder[kind.Configuration]
-//	ho.Store(cfg)        // by the one controller that owns the value
-//	cfg := ho.Load()     // by any request, one atomic read
+//	ho.Store(next)        // by the one controller that owns the value
+//	current := ho.Load()  // by any request, one atomic read
 //
 // A reader uses one loaded value for as long as it needs a consistent view. A
 // writer never changes a value that it has published.
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -23,9 +23,9 @@
 	ModeDown Mode = "down"
 	// ModeSlow delays each answer, and each write to a stream, by 500 ms.
 	ModeSlow Mode = "slow"
-	// ModeSilent stops all answers to requests that were received before the
-	// fault, without closing their connections. These answers do not continue
-	// when the fault ends.
+	// ModeSilent stops the streams of an engine and the answers of a service to
+	// requests that were received before the fault, without closing their
+	// connections. They do not continue when the fault ends.
 	ModeSilent Mode = "silent"
 	// ModeCrash exits the process, at once or when a request matches.
 	ModeCrash Mode = "crash"
@@ -48,8 +48,8 @@
 	// For is the duration of the fault in the format of time.ParseDuration. If it
 	// is empty, the fault lasts until the next one is set.
 	For string `json:"for,omitempty"`
-	// Match restricts ModeCrash to requests whose body contains it. If it is
-	// empty, the process exits immediately.
+	// Match delays ModeCrash until a generation request or a service call whose
+	// body contains it. If it is empty, the process exits immediately.
 	Match string `json:"match,omitempty"`
 }
 
